--- a/admission/room.cpp
+++ b/admission/room.cpp
@@ -10,17 +10,17 @@
 
 }  // namespace
 
-double RoomForecast::faded(double rate, Time now) const {
+double CapacityForecast::faded(double rate, Time now) const {
   return rate * std::exp(-static_cast<double>(std::max<Time>(0, now - at_)) / kMemory);
 }
 
-void RoomForecast::ended(Time now, size_t bytes) {
+void CapacityForecast::record_release(Time now, size_t bytes) {
   bytes_ = faded(bytes_, now) + static_cast<double>(bytes) * 1e6 / kMemory;
   places_ = faded(places_, now) + 1e6 / kMemory;
   at_ = std::max(at_, now);
 }
 
-Time RoomForecast::wait(Time now, size_t bytes, Time first_end) const {
+Time CapacityForecast::time_until_available(Time now, size_t bytes, Time first_end) const {
   const double by_bytes = static_cast<double>(bytes) / std::max(1e-9, faded(bytes_, now));
   const double by_places = 1 / std::max(1e-9, faded(places_, now));
   const double seconds = std::max(by_bytes, by_places);
--- a/admission/room.h
+++ b/admission/room.h
@@ -10,15 +10,15 @@
 
 // Room comes back as messages end. How soon is told by how much ended lately; where hardly anything does, by
 // when the first of those held must end at the latest.
-class RoomForecast {
+class CapacityForecast {
  public:
-  RoomForecast(Time least, Time most) : least_(least), most_(most) {}
+  CapacityForecast(Time least, Time most) : least_(least), most_(most) {}
 
-  void ended(Time now, size_t bytes);
+  void record_release(Time now, size_t bytes);
 
   // How long until so many bytes and one place are likely to be free; between the bounds. `first_end`: when
   // the first of the messages held is given up.
-  Time wait(Time now, size_t bytes, Time first_end) const;
+  Time time_until_available(Time now, size_t bytes, Time first_end) const;
 
  private:
   double faded(double rate, Time now) const;
--- a/bench/earlier_journal.cpp
+++ b/bench/earlier_journal.cpp
@@ -190,7 +190,7 @@
   write(framed(Writer(kFact, name).text(value).payload()));
 }
 
-bool Journal::accepted(const Handed& m, Time due) {
+bool Journal::accepted(const Submission& m, Time due) {
   Writer out(kAccepted, m.id);
   out.text(m.message_class).text(m.key).number(m.destination).number(due).text(m.body);
   const size_t bytes = kHeader + out.payload().size() + kReserve;
@@ -223,7 +223,7 @@
 }
 
 void Journal::owed(const Notice& notice) {
-  append(notice.id, Writer(kOwed, notice.id).number(notice.returned).number(notice.after).payload());
+  append(notice.id, Writer(kOwed, notice.id).number(notice.returned).number(notice.retry_after).payload());
 }
 
 void Journal::done(const std::string& id) {
--- a/bench/earlier_journal.h
+++ b/bench/earlier_journal.h
@@ -14,11 +14,11 @@
 namespace umberhoist::earlier {
 
 using firspool::Time;
-using firspool::relay::Handed;
 using firspool::relay::Notice;
+using firspool::relay::Submission;
 
 struct Recovered {
-  Handed message;
+  Submission message;
   Time due = 0;  // wall clock, as all times here
   int attempts = 0;
   std::map<int, std::pair<Time, int>> unsettled;  // attempts that may have run: when sent, to which zone
@@ -41,7 +41,7 @@
   const std::map<std::string, std::string>& remembered() const { return remembered_; }
 
   // False: there is no room or it could not be written, and the message must not be taken on.
-  bool accepted(const Handed& message, Time due);
+  bool accepted(const Submission& message, Time due);
   // False: it could not be written, and the call must not start.
   bool attempt(const std::string& id, int number, Time sent, int zone);
   void never_ran(const std::string& id, int number);
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -27,10 +27,10 @@
 
 size_t heap() { return ::mallinfo2().uordblks + ::mallinfo2().hblkhd; }
 
-Handed message(uint64_t number, size_t body) {
+Submission message(uint64_t number, size_t body) {
   char id[17];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(number));
-  Handed out;
+  Submission out;
   out.id = out.key = id;
   out.message_class = "order-update";
   out.destination = 7;
@@ -75,7 +75,7 @@
   auto& journal = kept.journal;
   const double cpu = seconds(CLOCK_PROCESS_CPUTIME_ID), wall = seconds(CLOCK_MONOTONIC);
   for (int i = 0; i < count; ++i) {
-    const Handed m = message(static_cast<uint64_t>(i), body);
+    const Submission m = message(static_cast<uint64_t>(i), body);
     if (!journal.accepted(m, i) || !journal.attempt(m.id, 0, i, 0)) std::abort();
     journal.done(m.id);
     kept.tidy();
@@ -134,7 +134,7 @@
   {
     Journal journal(*folder.files, {2'000'000'000, "n0", 6, 1});
     for (size_t i = 0; i < records / 4; ++i) {
-      const Handed m = message(i, 200);
+      const Submission m = message(i, 200);
       journal.accepted(m, 1);
       journal.attempt(m.id, 0, 1, 0);
       journal.never_ran(m.id, 0);
--- a/ctl/fleet_verbs.cpp
+++ b/ctl/fleet_verbs.cpp
@@ -138,7 +138,7 @@
       const auto text = read_file(configuration_file, err);
       if (!text) return 2;
       try {
-        question.set_digest(reg::digest_of(firspool::relay::common_of(*text)));
+        question.set_digest(reg::digest_of(firspool::relay::common_settings(*text)));
       } catch (const std::exception& error) {
         err << configuration_file << ": " << error.what() << "\n";
         return 2;
--- a/ctl/journal.cpp
+++ b/ctl/journal.cpp
@@ -54,7 +54,7 @@
   if (!a.message.tenant.empty()) out["tenant"] = a.message.tenant;
   for (const Attempt& t : a.attempts) out["attempts"].push_back(json_of(t));
   if (a.owed)
-    out["owed"] = {{"state", a.owed->returned ? "returned" : "failed"}, {"after_us", a.owed->after}};
+    out["owed"] = {{"state", a.owed->returned ? "returned" : "failed"}, {"after_us", a.owed->retry_after}};
   if (bodies) out["body_hex"] = hex(a.message.body);
   return out;
 }
--- a/members/ask_pace.cpp
+++ b/members/ask_pace.cpp
@@ -4,23 +4,25 @@
 
 namespace umberhoist::members {
 
-Time AskPace::within(Time span) {
+Time WatchScheduler::within(Time span) {
   const Time others = span / set_.relays * (set_.relays - 1);
   return std::uniform_int_distribution<Time>(0, others)(random_);
 }
 
-Time AskPace::first(bool list_known) { return shared() && list_known ? within(set_.every) : 0; }
+Time WatchScheduler::initial_delay(bool list_known) {
+  return shared() && list_known ? within(set_.request_interval) : 0;
+}
 
-Time AskPace::again(WatchEnd end) {
+Time WatchScheduler::retry_delay(WatchEnd end) {
   const Time pause = pause_;
   pause_ = std::min(2 * pause_, kLongestPause);
   if (!shared()) return pause;
-  Time span = std::min(set_.every, kSpan);
+  Time span = std::min(set_.request_interval, kSpan);
   if (end == WatchEnd::kBroken) {
     span_ = 0;
-    span = std::min(set_.every, kBrokenSpan);
+    span = std::min(set_.request_interval, kBrokenSpan);
   } else if (end == WatchEnd::kRefused) {
-    span = span_ = std::min(2 * std::max(span_, set_.every), kMostSpans * set_.every);
+    span = span_ = std::min(2 * std::max(span_, set_.request_interval), kMostSpans * set_.request_interval);
   }
   return std::max(pause, within(span));
 }
--- a/members/ask_pace.h
+++ b/members/ask_pace.h
@@ -1,9 +1,10 @@
 // When a relay asks discovery for its list, how long it waits for a sign of life, and when it asks again. No
 // I/O, no clock of its own.
 //
-// A change counts as told kToldWithin after discovery had it and could be reached. So silence is not waited
-// out: a watch brings an empty line every 2 s, and one that brings none is broken, whatever its connection
-// says. The times below add up to less than that; `docs/design/acceptance.md` has the sums.
+// A change counts as told kMaxNotificationDelay after discovery had it and could be reached. So silence is
+// not waited out: a watch brings an empty line every 2 s, and one that brings none is broken,
+// whatever its connection says. The times below add up to less than that; `docs/design/acceptance.md` has the
+// sums.
 //
 // Where changes are pushed, an ask costs nothing and comes at once. Where each ask costs discovery work, that
 // work is shared by all relays: a fleet that asks in step fills discovery's queue, what is served comes after
@@ -17,37 +18,37 @@
 
 using Time = int64_t;  // microseconds
 
-struct AskSettings {
-  Time every = 0;  // within which each relay is expected to ask; 0: an ask costs nothing
-  int relays = 1;  // that ask the same discovery
+struct WatchScheduleOptions {
+  Time request_interval = 0;  // within which each relay is expected to ask; 0: an ask costs nothing
+  int relays = 1;             // that ask the same discovery
 };
 
 // How a watch ended.
 enum class WatchEnd {
-  kBroken,   // it had told something, then ended or fell silent
-  kNoWord,   // no connection, or nothing on it
-  kRefused,  // discovery was there and turned the ask away
+  kBroken,      // it had told something, then ended or fell silent
+  kNoResponse,  // no connection, or nothing on it
+  kRefused,     // discovery was there and turned the ask away
 };
 
-class AskPace {
+class WatchScheduler {
  public:
-  static constexpr Time kToldWithin = 6'000'000;
-  static constexpr Time kSilence = 2'750'000;  // without a line: the next was due after 2 s
+  static constexpr Time kMaxNotificationDelay = 6'000'000;
+  static constexpr Time kSilenceTimeout = 2'750'000;  // without a line: the next was due after 2 s
 
-  AskPace(AskSettings settings, uint64_t seed) : set_(settings), random_(seed) {}
+  WatchScheduler(WatchScheduleOptions settings, uint64_t seed) : set_(settings), random_(seed) {}
 
   // Pause before the first ask. With a list to start on there is no haste: the fleet may have started as one.
-  Time first(bool list_known);
+  Time initial_delay(bool list_known);
 
   // How long an ask may go without a word. An agent on this machine answers at once; a discovery that is
   // asked may keep the ask in its queue for 2 s, and what it says then is news.
-  Time first_word() const { return shared() ? kFirstWordAsked : kFirstWord; }
+  Time first_item_timeout() const { return shared() ? kFirstWordAsked : kFirstWord; }
 
   // Pause before the next ask.
-  Time again(WatchEnd end);
+  Time retry_delay(WatchEnd end);
 
   // Discovery said something: what costs nothing may be asked again soon.
-  void heard() { pause_ = kFirstPause; }
+  void on_item() { pause_ = kFirstPause; }
 
  private:
   static constexpr Time kFirstPause = 50'000;
@@ -58,15 +59,15 @@
   // before, and otherwise.
   static constexpr Time kBrokenSpan = 2'000'000;
   static constexpr Time kAnswer = 600'000;  // left for the answer
-  static constexpr Time kSpan = kToldWithin - kFirstWordAsked - kAnswer;
-  // Turned away, each spreads its asks over twice `every` and then twice as long, up to so many times: more
-  // ask than discovery can bear, and none would be told otherwise.
+  static constexpr Time kSpan = kMaxNotificationDelay - kFirstWordAsked - kAnswer;
+  // Turned away, each spreads its asks over twice `request_interval` and then twice as long, up to so many
+  // times: more ask than discovery can bear, and none would be told otherwise.
   static constexpr int kMostSpans = 4;
 
-  bool shared() const { return set_.every > 0 && set_.relays > 1; }
+  bool shared() const { return set_.request_interval > 0 && set_.relays > 1; }
   Time within(Time span);  // at random; of one relay alone there is nobody to keep out of step with
 
-  AskSettings set_;
+  WatchScheduleOptions set_;
   std::mt19937_64 random_;
   Time pause_ = kFirstPause;
   Time span_ = 0;  // over which the last ask was spread that was turned away; 0: none since a watch stood
--- a/members/list_words.cpp
+++ b/members/list_words.cpp
@@ -4,18 +4,18 @@
 
 namespace umberhoist::members {
 
-ListWords::Word ListWords::cut(Kind kind) {
-  Word out{kind, kind == Kind::kList ? bytes_.substr(0, at_) : std::string()};
+ListStreamParser::Item ListStreamParser::cut(ItemKind kind) {
+  Item out{kind, kind == ItemKind::kList ? bytes_.substr(0, at_) : std::string()};
   bytes_.erase(0, at_);
   at_ = 0;
   return out;
 }
 
-ListWords::Word ListWords::next() {
+ListStreamParser::Item ListStreamParser::next() {
   while (at_ < bytes_.size()) {
     const char byte = bytes_[at_++];
     if (quoted_) {
-      if (byte == '\n') return cut(Kind::kSpoilt);  // JSON has no line's end within a string
+      if (byte == '\n') return cut(ItemKind::kMalformed);  // JSON has no line's end within a string
       if (!std::exchange(escaped_, false)) {
         escaped_ = byte == '\\';
         quoted_ = byte != '"';
@@ -24,8 +24,8 @@
     }
     if (byte == '\n') {
       const bool empty = std::exchange(empty_line_, true);
-      if (depth_ == 0) return cut(Kind::kAlive);
-      if (empty) return cut(Kind::kSpoilt);  // an empty line stands between lists: this one broke off
+      if (depth_ == 0) return cut(ItemKind::kKeepAlive);
+      if (empty) return cut(ItemKind::kMalformed);  // an empty line stands between lists: this one broke off
       continue;
     }
     if (byte == ' ' || byte == '\t' || byte == '\r') continue;
@@ -33,15 +33,15 @@
     if (byte == '{' || (byte == '[' && depth_ > 0)) {
       ++depth_;
     } else if (depth_ == 0) {
-      return cut(Kind::kSpoilt);
+      return cut(ItemKind::kMalformed);
     } else if (byte == '"') {
       quoted_ = true;
     } else if ((byte == '}' || byte == ']') && --depth_ == 0) {
-      return cut(Kind::kList);
+      return cut(ItemKind::kList);
     }
-    if (at_ > most_) return cut(Kind::kSpoilt);
+    if (at_ > most_) return cut(ItemKind::kMalformed);
   }
-  if (bytes_.size() > most_) return cut(Kind::kSpoilt);
+  if (bytes_.size() > most_) return cut(ItemKind::kMalformed);
   return {};
 }
 
--- a/members/list_words.h
+++ b/members/list_words.h
@@ -12,27 +12,27 @@
 
 namespace umberhoist::members {
 
-class ListWords {
+class ListStreamParser {
  public:
-  enum class Kind {
-    kNone,    // nothing whole has come
-    kAlive,   // an empty line
-    kList,    // `text` is an object with all its brackets closed; it may still be no JSON
-    kSpoilt,  // no list can follow: the watch is to be opened anew
+  enum class ItemKind {
+    kIncomplete,  // nothing whole has come
+    kKeepAlive,   // an empty line
+    kList,        // `text` is an object with all its brackets closed; it may still be no JSON
+    kMalformed,   // no list can follow: the watch is to be opened anew
   };
-  struct Word {
-    Kind kind = Kind::kNone;
+  struct Item {
+    ItemKind kind = ItemKind::kIncomplete;
     std::string text;
   };
 
   // `most`: bytes of one list.
-  explicit ListWords(size_t most) : most_(most) {}
+  explicit ListStreamParser(size_t most) : most_(most) {}
 
   void feed(std::string_view bytes) { bytes_ += bytes; }
-  Word next();
+  Item next();
 
  private:
-  Word cut(Kind kind);
+  Item cut(ItemKind kind);
 
   size_t most_;
   std::string bytes_;  // from the present word's first byte on
--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -35,8 +35,8 @@
 constexpr Time kIdleLeast = 2 * kSecond;         // between requests
 constexpr Time kPressedLeast = kSecond / 20;     // the same, where every other was of use just now
 constexpr Time kSilentLeast = 3 * kSecond / 10;  // with nothing ever sent
-// Clients may hold a third of the descriptors for requests, two thirds of the room here. Connections that
-// stand idle are kept to a quarter of the room, so that they never are what holds the next one up.
+// Clients may hold a third of the descriptors for requests, two thirds of the room here. Connections
+// that stand idle are kept to a quarter of the room, so that they never are what holds the next one up.
 constexpr size_t kIdleShare = 4;
 constexpr Time kIdleShortest = kSecond / 20;        // a client that goes on at once finds its connection open
 constexpr size_t kMostName = 128;                   // ids, keys and class names
@@ -64,13 +64,13 @@
 
 }  // namespace
 
-Handed parse_put(const std::vector<std::string>& words) {
+Submission parse_put(const std::vector<std::string>& words) {
   if (words.size() != 5) throw std::invalid_argument("MSG.PUT takes a key, an id, a list and a body");
-  Handed out;
+  Submission out;
   out.id = words[2];
   if (!is_name(out.id)) throw std::invalid_argument("unreadable id");
   out.destination = -1;
-  out.life = -1;
+  out.lifetime = -1;
   std::string_view rest = words[3];
   while (!rest.empty()) {
     const std::string_view item = rest.substr(0, rest.find(','));
@@ -82,13 +82,13 @@
     if (name == "c") out.message_class = value;
     if (name == "k") out.key = value;
     if (name == "t") out.tenant = value;
-    if (name == "d") out.life = 1000 * number(value, kMostLife);
+    if (name == "d") out.lifetime = 1000 * number(value, kMostLife);
     if (name == "dest") out.destination = static_cast<int>(number(value, 1'000'000));
   }
   if (!is_name(out.message_class)) throw std::invalid_argument("unreadable class");
   if (!out.key.empty() && !is_name(out.key)) throw std::invalid_argument("unreadable idempotency key");
   if (!out.tenant.empty() && !is_name(out.tenant)) throw std::invalid_argument("unreadable tenant");
-  if (out.life < 0) throw std::invalid_argument("no d");
+  if (out.lifetime < 0) throw std::invalid_argument("no d");
   if (out.destination < 0) throw std::invalid_argument("no dest");
   out.body = words[4];
   return out;
@@ -102,9 +102,9 @@
 //   kLingering  this side has shut its sending; -> kClosed
 //   kClosed     by the client's end, an error, an answer that is not read, or the end of the lingering
 // Whatever ends a connection of a client that is still there passes through kLingering.
-class Clients::Session : public std::enable_shared_from_this<Session> {
+class ClientServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Clients& owner, tcp::socket socket)
+  Session(ClientServer& owner, tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), since_(steady_now()) {}
 
   std::list<std::shared_ptr<Session>>::iterator place;
@@ -250,8 +250,8 @@
     if (command != "MSG.PUT") return answer("-ERR unknown command");
     if (owner_ == nullptr) return;
     try {
-      Handed handed = parse_put(words);
-      handed.life = std::max<Time>(0, handed.life - (steady_now() - came_));
+      Submission handed = parse_put(words);
+      handed.lifetime = std::max<Time>(0, handed.lifetime - (steady_now() - came_));
       owner_->put_(std::move(handed),
                    [self = shared_from_this()](const std::string& line) { self->answer(line); });
     } catch (const std::invalid_argument& error) {
@@ -297,7 +297,7 @@
     });
   }
 
-  Clients* owner_;
+  ClientServer* owner_;
   tcp::socket socket_;
   RespParser parser_;
   std::string out_;
@@ -310,7 +310,8 @@
   bool last_ = false;
 };
 
-Clients::Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t most, Put put)
+ClientServer::ClientServer(boost::asio::io_context& io, const tcp::endpoint& listen, size_t most,
+                           SubmitCallback put)
     : io_(io),
       acceptor_(io),
       pause_(io),
@@ -326,12 +327,12 @@
   sweep();
 }
 
-Clients::~Clients() {
+ClientServer::~ClientServer() {
   for (const auto& session : sessions_) session->orphan();
   for (const auto& session : lingering_) session->orphan();
 }
 
-void Clients::accept() {
+void ClientServer::accept() {
   if (finishing_ || accepting_ || (sessions_.size() >= most_ && !make_room())) return;
   accepting_ = true;
   acceptor_.async_accept([this](const boost::system::error_code& error, tcp::socket socket) {
@@ -349,7 +350,7 @@
   });
 }
 
-void Clients::admit(tcp::socket socket) {
+void ClientServer::admit(tcp::socket socket) {
   boost::system::error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
@@ -359,9 +360,9 @@
   session->proceed();
 }
 
-// At the limit the connection that has been of no use for longest goes. Clients keep connections for good,
-// and some connect and say nothing: they would shut out those that have something to hand in.
-bool Clients::make_room() {
+// At the limit the connection that has been of no use for longest goes. Clients keep connections for
+// good, and some connect and say nothing: they would shut out those that have something to hand in.
+bool ClientServer::make_room() {
   const Time now = steady_now();
   std::shared_ptr<Session> best;
   for (const bool pressed : {false, true}) {
@@ -382,7 +383,7 @@
 }
 
 // It takes no room of those that have something to hand in, and there are only so many like it.
-void Clients::lingers(std::list<std::shared_ptr<Session>>::iterator place) {
+void ClientServer::lingers(std::list<std::shared_ptr<Session>>::iterator place) {
   lingering_.splice(lingering_.end(), sessions_, place);
   if (lingering_.size() > most_lingering_) lingering_.front()->close();
   accept();
@@ -391,14 +392,14 @@
 // How long a connection may stand idle. By Little's law as many are idle as come in that time: where clients
 // open one for each message and keep it, 121 a second that are kept for 2 s would take 242 descriptors, and
 // clients that may not hold so many could not reach this relay at all. Where few come they stay.
-Time Clients::most_idle() const {
+Time ClientServer::most_idle() const {
   const size_t came = std::accumulate(came_.begin(), came_.end(), size_t{0});
   if (came == 0) return std::numeric_limits<Time>::max();
   const Time window = kSweep / std::chrono::microseconds(1) * static_cast<Time>(came_.size());
   return std::max(kIdleShortest, window * static_cast<Time>(most_ / kIdleShare) / static_cast<Time>(came));
 }
 
-void Clients::sweep() {
+void ClientServer::sweep() {
   const Time now = steady_now();
   const Time most_idle = this->most_idle();
   for (auto next = sessions_.begin(); next != sessions_.end();) {
@@ -416,14 +417,14 @@
   });
 }
 
-void Clients::forget(std::list<std::shared_ptr<Session>>::iterator place, bool lingering) {
+void ClientServer::forget(std::list<std::shared_ptr<Session>>::iterator place, bool lingering) {
   (lingering ? lingering_ : sessions_).erase(place);
   if (!lingering) accept();
 }
 
 // What the kernel has connected and nobody accepted would be reset with the listener: its client may have
 // sent a request already.
-void Clients::finish() {
+void ClientServer::shut_down() {
   finishing_ = true;
   boost::system::error_code error;
   acceptor_.non_blocking(true, error);
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -14,24 +14,26 @@
 namespace firspool::relay {
 
 // Reads the words of MSG.PUT; throws std::invalid_argument with a line for the client.
-Handed parse_put(const std::vector<std::string>& words);
+Submission parse_put(const std::vector<std::string>& words);
 
-class Clients {
+class ClientServer {
  public:
-  using Answer = std::function<void(std::string line)>;  // called once, with a RESP line without its end
-  using Put = std::function<void(Handed message, Answer answer)>;
+  using ReplyCallback =
+      std::function<void(std::string line)>;  // called once, with a RESP line without its end
+  using SubmitCallback = std::function<void(Submission message, ReplyCallback answer)>;
 
   // Listens at once, and holds at most `most` connections; throws boost::system::system_error.
-  Clients(boost::asio::io_context& io, const tcp::endpoint& listen, size_t most, Put put);
-  ~Clients();
+  ClientServer(boost::asio::io_context& io, const tcp::endpoint& listen, size_t most, SubmitCallback put);
+  ~ClientServer();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
   // Takes no new connection and closes those that are open, each only between requests.
-  void finish();
+  void shut_down();
 
-  // After `finish`: all that was read has its answer, and the clients have seen the end of their connections.
-  bool settled() const { return sessions_.empty() && lingering_.empty(); }
+  // After `shut_down`: all that was read has its answer, and the clients have seen the end of their
+  // connections.
+  bool all_closed() const { return sessions_.empty() && lingering_.empty(); }
 
  private:
   class Session;
@@ -50,7 +52,7 @@
   boost::asio::steady_timer sweeper_;
   size_t most_lingering_;
   size_t most_;  // that do not linger
-  Put put_;
+  SubmitCallback put_;
   bool accepting_ = false;
   bool finishing_ = false;
   std::array<size_t, 10> came_{};      // connections in each of the last sweeps' spans, the present one first
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -51,17 +51,17 @@
 Config parse_config(const std::string& text, const std::string& state) {
   const json root = json::parse(text);
   Config out;
-  out.state = state;
+  out.state_folder = state;
   out.name = root.at("name").get<std::string>();
   out.listen = parse_address(root.at("listen").get<std::string>());
   out.discovery = parse_address(root.at("discovery").get<std::string>());
   out.seed = std::stoull(root.at("seed").get<std::string>(), nullptr, 16);
   const json& limits = root.at("limits");
-  out.sockets = limits.at("sockets").get<size_t>();
+  out.max_sockets = limits.at("sockets").get<size_t>();
   const double disk_mb = limits.at("disk_mb").get<double>();
-  if (out.sockets < 64) throw std::invalid_argument("limits.sockets is under 64");
+  if (out.max_sockets < 64) throw std::invalid_argument("limits.sockets is under 64");
   if (!(disk_mb > 0 && disk_mb < 1e6)) throw std::invalid_argument("limits.disk_mb is out of range");
-  out.disk_bytes = static_cast<size_t>(disk_mb * 1e6);
+  out.max_disk_bytes = static_cast<size_t>(disk_mb * 1e6);
   const std::string durability = root.value("durability", "process");
   if (durability != "process" && durability != "group") {
     throw std::invalid_argument("durability is '" + durability + "'; expected process or group");
@@ -69,33 +69,33 @@
   if (durability == "group") out.durability = umberhoist::state::Durability::kGroup;
   const json& settings = root.at("settings");
   out.settings = parse_settings(flatten(settings));
-  out.names.zones = settings.at("azs").get<std::vector<std::string>>();
-  out.names.kinds = settings.at("kinds").get<std::vector<std::string>>();
+  out.list_names.zones = settings.at("azs").get<std::vector<std::string>>();
+  out.list_names.kinds = settings.at("kinds").get<std::vector<std::string>>();
   const json report = settings.value("telemetry", json::object());
   out.report_fields = report.value("fields", std::vector<std::string>{});
-  out.known = parse_list(root.at("known"), out.names);
-  if (root.contains("fleet") && root["fleet"].is_string()) out.fleet = root["fleet"].get<std::string>();
+  out.known_hosts = parse_list(root.at("known"), out.list_names);
+  if (root.contains("fleet") && root["fleet"].is_string()) out.fleet_file = root["fleet"].get<std::string>();
   out.text = text;
-  out.common = common_of(text);
+  out.common_settings = common_settings(text);
   return out;
 }
 
-std::string common_of(const std::string& text) {
+std::string common_settings(const std::string& text) {
   json common = json::parse(text);
   for (const char* own : kOwn) common.erase(own);
   return common.dump();
 }
 
-Config with_common(const Config& own, const std::string& common) {
+Config with_common_settings(const Config& own, const std::string& common) {
   json merged = json::parse(own.text);
-  if (common.empty()) return parse_config(own.text, own.state);
+  if (common.empty()) return parse_config(own.text, own.state_folder);
   json mine = json::object();
   for (const char* key : kOwn) {
     if (merged.contains(key)) mine[key] = merged[key];
   }
   merged = json::parse(common);
   merged.update(mine);
-  return parse_config(merged.dump(), own.state);
+  return parse_config(merged.dump(), own.state_folder);
 }
 
 Config load_config() {
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -53,8 +53,8 @@
 
 // Whether an older list's entry undoes what was told: an id that has left comes back only with a new start.
 bool Directory::brings_back(const ListedHost& listed) const {
-  const auto gone = gone_.find(listed.id);
-  if (gone != gone_.end()) return listed.up_since <= gone->second;
+  const auto gone = removed_.find(listed.id);
+  if (gone != removed_.end()) return listed.up_since <= gone->second;
   const auto handle = handles_.find(listed.id);
   return handle != handles_.end() && hosts_.at(handle->second).member.listing >= listed.member.listing;
 }
@@ -63,7 +63,7 @@
   const bool left = listed.member.listing == Listing::kGone;
   auto handle = handles_.find(listed.id);
   if (handle == handles_.end()) {
-    if (left) return void(gone_.try_emplace(listed.id, wall));
+    if (left) return void(removed_.try_emplace(listed.id, wall));
     handle = handles_.emplace(listed.id, Endpoint{++last_handle_, 0}).first;
   }
   ListedHost& host = hosts_[handle->second];
@@ -72,9 +72,9 @@
   changed.push_back(host.member);
   destinations_.insert(host.member.destination);
   if (left) {
-    gone_.try_emplace(listed.id, wall);
+    removed_.try_emplace(listed.id, wall);
   } else {
-    gone_.erase(listed.id);
+    removed_.erase(listed.id);
   }
 }
 
@@ -88,7 +88,7 @@
     for (auto& [handle, host] : hosts_) {
       if (listed.contains(host.id) || host.member.listing == Listing::kGone) continue;
       host.member.listing = Listing::kGone;
-      gone_.try_emplace(host.id, wall);
+      removed_.try_emplace(host.id, wall);
       members->push_back(host.member);
     }
   }
@@ -102,16 +102,16 @@
   return out;
 }
 
-void Directory::forget(const Endpoint& endpoint) {
+void Directory::erase(const Endpoint& endpoint) {
   const auto it = hosts_.find(endpoint);
   if (it == hosts_.end()) return;
   handles_.erase(it->second.id);
   hosts_.erase(it);
 }
 
-std::vector<std::string> Directory::prune(Time wall) {
+std::vector<std::string> Directory::prune_removed(Time wall) {
   std::vector<std::string> out;
-  std::erase_if(gone_, [&](const auto& entry) {
+  std::erase_if(removed_, [&](const auto& entry) {
     if (wall - entry.second < kKeepGone || handles_.contains(entry.first)) return false;
     out.push_back(entry.first);
     return true;
@@ -124,7 +124,7 @@
   return it == hosts_.end() ? nullptr : &it->second;
 }
 
-bool Directory::active(const Endpoint& endpoint) const {
+bool Directory::is_active(const Endpoint& endpoint) const {
   const ListedHost* host = find(endpoint);
   return host != nullptr && host->member.listing == Listing::kReady;
 }
--- a/relay/directory.h
+++ b/relay/directory.h
@@ -50,8 +50,10 @@
   std::optional<MembersChanged> apply(const HostList& list, Time wall);
 
   const ListedHost* find(const Endpoint& endpoint) const;
-  bool active(const Endpoint& endpoint) const;
-  bool known(int destination) const { return destinations_.contains(destination); }  // had a host at any time
+  bool is_active(const Endpoint& endpoint) const;
+  bool is_known(int destination) const {
+    return destinations_.contains(destination);
+  }  // had a host at any time
   void add_destination(int destination) { destinations_.insert(destination); }
   int64_t revision() const { return revision_; }
   const std::map<Endpoint, ListedHost>& hosts() const { return hosts_; }
@@ -59,10 +61,10 @@
 
   // For a host that is gone and has nothing out on it any more. Its id is kept for a while, against old
   // lists.
-  void forget(const Endpoint& endpoint);
-  const std::map<std::string, Time>& gone() const { return gone_; }
-  void add_gone(const std::string& id, Time wall) { gone_[id] = wall; }
-  std::vector<std::string> prune(Time wall);  // the ids that are kept no longer
+  void erase(const Endpoint& endpoint);
+  const std::map<std::string, Time>& removed() const { return removed_; }
+  void add_removed(const std::string& id, Time wall) { removed_[id] = wall; }
+  std::vector<std::string> prune_removed(Time wall);  // the ids that are kept no longer
 
  private:
   bool brings_back(const ListedHost& listed) const;
@@ -72,7 +74,7 @@
   uint32_t last_handle_ = 0;
   std::map<std::string, Endpoint> handles_;
   std::map<Endpoint, ListedHost> hosts_;
-  std::map<std::string, Time> gone_;  // when that was told
+  std::map<std::string, Time> removed_;  // when that was told
   std::set<int> destinations_;
 };
 
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -10,9 +10,9 @@
 using Error = boost::system::error_code;
 using std::chrono::milliseconds;
 
-using umberhoist::members::AskPace;
-using umberhoist::members::ListWords;
+using umberhoist::members::ListStreamParser;
 using umberhoist::members::WatchEnd;
+using umberhoist::members::WatchScheduler;
 
 constexpr milliseconds kFirstPause{50};
 constexpr size_t kMostOld = 2;
@@ -30,14 +30,14 @@
 //   kAsked       until its first word: a head with 200 says nothing yet
 //   kFollowing   each word is followed by the next within the silence allowed
 //   kEnded       by an end, silence, what is no list, or its owner
-// An end before kFollowing is kNoWord, or kRefused where the head says so; one after it is kBroken.
-class Watch::Stream : public std::enable_shared_from_this<Stream> {
+// An end before kFollowing is kNoResponse, or kRefused where the head says so; one after it is kBroken.
+class DiscoveryWatch::Stream : public std::enable_shared_from_this<Stream> {
  public:
-  explicit Stream(Watch& owner)
+  explicit Stream(DiscoveryWatch& owner)
       : owner_(&owner), address_(owner.address_), socket_(owner.io_), timer_(owner.io_) {}
 
   void start(int64_t revision) {
-    expect_by(owner_->pace_.first_word());
+    expect_by(owner_->pace_.first_item_timeout());
     request_.version(11);
     request_.method(http::verb::get);
     request_.target("/api/targets?stream=1&index=" + std::to_string(revision));
@@ -83,9 +83,9 @@
       self->words_.feed(body);
       body.clear();
       while (true) {
-        const ListWords::Word word = self->words_.next();
-        if (word.kind == ListWords::Kind::kNone) break;
-        if (word.kind == ListWords::Kind::kSpoilt) return self->end();
+        const ListStreamParser::Item word = self->words_.next();
+        if (word.kind == ListStreamParser::ItemKind::kIncomplete) break;
+        if (word.kind == ListStreamParser::ItemKind::kMalformed) return self->end();
         self->heard();
         const bool readable = self->owner_->word(word.text);
         if (self->owner_ == nullptr) return;
@@ -100,7 +100,7 @@
   void heard() {
     state_ = State::kFollowing;
     how_ = WatchEnd::kBroken;
-    expect_by(AskPace::kSilence);
+    expect_by(WatchScheduler::kSilenceTimeout);
   }
 
   // Guards against an agent or a path that fell silent with its connection open, or in the head, or before.
@@ -116,21 +116,22 @@
     if (owner_ != nullptr) owner_->lost(shared_from_this());
   }
 
-  Watch* owner_;
+  DiscoveryWatch* owner_;
   tcp::endpoint address_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
   uint64_t due_ = 0;  // how often the timer was set: an expiry of before, queued already, is of no weight
   State state_ = State::kConnecting;
-  WatchEnd how_ = WatchEnd::kNoWord;
+  WatchEnd how_ = WatchEnd::kNoResponse;
   http::request<http::empty_body> request_;
   boost::beast::flat_buffer buffer_;
   http::response_parser<http::string_body> parser_;
-  ListWords words_{kMostList};
+  ListStreamParser words_{kMostList};
 };
 
-Watch::Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-             Told told, std::function<void()> current, umberhoist::members::AskPace pace, bool list_known)
+DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names,
+                               RevisionProvider revision, ListCallback told, std::function<void()> current,
+                               umberhoist::members::WatchScheduler pace, bool list_known)
     : io_(io),
       address_(address),
       names_(std::move(names)),
@@ -139,16 +140,16 @@
       current_(std::move(current)),
       pace_(std::move(pace)),
       pause_(io) {
-  const Time pause = pace_.first(list_known);
+  const Time pause = pace_.initial_delay(list_known);
   pause > 0 ? connect_after(pause) : connect();
 }
 
-Watch::~Watch() {
+DiscoveryWatch::~DiscoveryWatch() {
   if (stream_) stream_->close();
   for (const auto& stream : old_) stream->close();
 }
 
-void Watch::move(const tcp::endpoint& address) {
+void DiscoveryWatch::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   if (stream_) old_.push_back(std::exchange(stream_, nullptr));
@@ -157,46 +158,46 @@
     old_.erase(old_.begin());
   }
   pause_.cancel();
-  pace_.heard();
+  pace_.on_item();
   // Every relay is told the new address in the same moment, as at a start.
-  const Time pause = pace_.first(true);
+  const Time pause = pace_.initial_delay(true);
   pause > 0 ? connect_after(pause) : connect();
 }
 
-void Watch::connect_after(Time pause) {
+void DiscoveryWatch::connect_after(Time pause) {
   pause_.expires_after(std::chrono::microseconds(pause));
   pause_.async_wait([this](const Error& error) {
     if (!error && !stream_) connect();
   });
 }
 
-void Watch::connect() {
+void DiscoveryWatch::connect() {
   stream_ = std::make_shared<Stream>(*this);
   stream_->start(revision_());
 }
 
-void Watch::lost(const std::shared_ptr<Stream>& stream) {
+void DiscoveryWatch::lost(const std::shared_ptr<Stream>& stream) {
   stream->close();
   if (stream != stream_) return void(std::erase(old_, stream));
   stream_.reset();
-  connect_after(pace_.again(stream->how()));
+  connect_after(pace_.retry_delay(stream->how()));
 }
 
-bool Watch::word(const std::string& list) {
+bool DiscoveryWatch::word(const std::string& list) {
   try {
     if (!list.empty()) told_(parse_list(nlohmann::json::parse(list), names_));
   } catch (const std::exception&) {  // unreadable: from the start, on a new connection
     return false;
   }
-  pace_.heard();
+  pace_.on_item();
   current_();
   return true;
 }
 
 // A kept-alive connection for notices, one request at a time.
-class Notices::Post : public std::enable_shared_from_this<Post> {
+class NoticeSender::Post : public std::enable_shared_from_this<Post> {
  public:
-  explicit Post(Notices& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
+  explicit Post(NoticeSender& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
 
   void send(const std::string& body) {
     request_ = {};
@@ -247,7 +248,7 @@
     if (owner_ != nullptr) owner_->ended(taken);
   }
 
-  Notices* owner_;
+  NoticeSender* owner_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
   http::request<http::string_body> request_;
@@ -256,19 +257,20 @@
   bool reusable_ = false;
 };
 
-Notices::Notices(boost::asio::io_context& io, const tcp::endpoint& address, Sent sent)
+NoticeSender::NoticeSender(boost::asio::io_context& io, const tcp::endpoint& address,
+                           AcknowledgedCallback sent)
     : io_(io), address_(address), sent_(std::move(sent)), pause_(io), back_off_(kFirstPause) {}
 
-Notices::~Notices() {
+NoticeSender::~NoticeSender() {
   if (post_) post_->close();
 }
 
-void Notices::add(Notice notice) {
+void NoticeSender::add(Notice notice) {
   queue_.push_back(std::move(notice));
   if (queue_.size() == 1) proceed();
 }
 
-void Notices::move(const tcp::endpoint& address) {
+void NoticeSender::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   if (post_) post_->close();
@@ -279,20 +281,20 @@
   proceed();
 }
 
-void Notices::proceed() {
+void NoticeSender::proceed() {
   if (out_ > 0 || queue_.empty()) return;
   std::string body;
   for (; out_ < std::min(queue_.size(), kMostNotices); ++out_) {
     const Notice& notice = queue_[out_];
     nlohmann::json line = {{"id", notice.id}, {"state", notice.returned ? "returned" : "failed"}};
-    if (notice.returned && notice.after > 0) line["after_ms"] = (notice.after + 999) / 1000;
+    if (notice.returned && notice.retry_after > 0) line["after_ms"] = (notice.retry_after + 999) / 1000;
     body += line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
   }
   if (!post_) post_ = std::make_shared<Post>(*this);
   post_->send(body);
 }
 
-void Notices::ended(bool taken) {
+void NoticeSender::ended(bool taken) {
   if (!post_->reusable()) {
     post_->close();
     post_.reset();
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -24,18 +24,19 @@
 // anew, when the pace says so.
 // Discovery may move to another address: what the old one has written still counts, so it is heard to its
 // end.
-class Watch {
+class DiscoveryWatch {
  public:
-  using Told = std::function<void(const HostList&)>;
-  using Revision = std::function<int64_t()>;  // the one that is known
+  using ListCallback = std::function<void(const HostList&)>;
+  using RevisionProvider = std::function<int64_t()>;  // the one that is known
 
   // `current` is called after each word: what there was to tell has been told. `list_known`: there is one to
   // start on.
-  Watch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names, Revision revision,
-        Told told, std::function<void()> current, umberhoist::members::AskPace pace, bool list_known);
-  ~Watch();
+  DiscoveryWatch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names,
+                 RevisionProvider revision, ListCallback told, std::function<void()> current,
+                 umberhoist::members::WatchScheduler pace, bool list_known);
+  ~DiscoveryWatch();
 
-  void move(const tcp::endpoint& address);
+  void set_address(const tcp::endpoint& address);
 
  private:
   class Stream;
@@ -48,26 +49,26 @@
   boost::asio::io_context& io_;
   tcp::endpoint address_;
   ListNames names_;
-  Revision revision_;
-  Told told_;
+  RevisionProvider revision_;
+  ListCallback told_;
   std::function<void()> current_;
-  umberhoist::members::AskPace pace_;
+  umberhoist::members::WatchScheduler pace_;
   boost::asio::steady_timer pause_;
   std::shared_ptr<Stream> stream_;
   std::vector<std::shared_ptr<Stream>> old_;  // of addresses before, until they end
 };
 
 // Sends notices, each again until it is answered with 204.
-class Notices {
+class NoticeSender {
  public:
-  using Sent = std::function<void(const std::string& id)>;
+  using AcknowledgedCallback = std::function<void(const std::string& id)>;
 
-  Notices(boost::asio::io_context& io, const tcp::endpoint& address, Sent sent);
-  ~Notices();
+  NoticeSender(boost::asio::io_context& io, const tcp::endpoint& address, AcknowledgedCallback sent);
+  ~NoticeSender();
 
   void add(Notice notice);
   // What is unanswered goes to the new address, at once.
-  void move(const tcp::endpoint& address);
+  void set_address(const tcp::endpoint& address);
   bool empty() const { return queue_.empty(); }
 
  private:
@@ -78,7 +79,7 @@
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
-  Sent sent_;
+  AcknowledgedCallback sent_;
   boost::asio::steady_timer pause_;
   std::chrono::milliseconds back_off_;
   std::deque<Notice> queue_;
--- a/relay/fleet_side.cpp
+++ b/relay/fleet_side.cpp
@@ -23,16 +23,16 @@
 
 }  // namespace
 
-FleetSide::FleetSide(boost::asio::io_context& io, std::unique_ptr<umberhoist::fleet::Fleet> fleet,
-                     const Settings& settings, uint64_t seed, Hooks hooks)
+FleetAdapter::FleetAdapter(boost::asio::io_context& io, std::unique_ptr<umberhoist::fleet::Fleet> fleet,
+                           const Settings& settings, uint64_t seed, Hooks hooks)
     : settings_(settings), seed_(seed), fleet_(std::move(fleet)), hooks_(std::move(hooks)), timer_(io) {
   tick();
 }
 
-void FleetSide::resume(const Arrival& in) { waiting_[in.id] = in; }
+void FleetAdapter::resume(const Arrival& in) { waiting_[in.id] = in; }
 
-void FleetSide::resumed(Time now) {
-  std::vector<umberhoist::recovery::Held> held;
+void FleetAdapter::resumed(Time now) {
+  std::vector<umberhoist::recovery::HeldMessage> held;
   for (const auto& [number, in] : waiting_) {
     const ClassSettings& c = settings_.classes[in.message_class];
     const bool late = now > in.due - c.give_up + c.target;
@@ -40,28 +40,28 @@
                     in.ran && c.effect == Effect::kUnsafe});
   }
   const size_t count = held.size();
-  umberhoist::recovery::Limits limits;
+  umberhoist::recovery::RecoveryLimits limits;
   // The fleet's relays come one after the other: each at a moment of its own within two more seconds.
-  limits.first += static_cast<Time>(seed_ % 2'000'000);
+  limits.owner_head_start += static_cast<Time>(seed_ % 2'000'000);
   return_.emplace(limits, std::move(held), now);
   if (count > 0) std::fprintf(stderr, "recovery: %zu messages held, waiting for the fleet's word\n", count);
   hand_over(now);
 }
 
-void FleetSide::finished(uint64_t number) {
-  if (return_) return_->drop(number);
+void FleetAdapter::finished(uint64_t number) {
+  if (return_) return_->remove(number);
   waiting_.erase(number);
 }
 
-void FleetSide::ended(int destination, Outcome outcome, Time now) {
+void FleetAdapter::ended(int destination, Outcome outcome, Time now) {
   const bool served = outcome == Outcome::kOk || outcome == Outcome::kSpoilt;
   if (served) served_[destination] = now;
   if (!return_) return;
-  served ? return_->served(destination, now) : return_->failed(destination, now);
+  served ? return_->on_served(destination, now) : return_->on_failed(destination, now);
   hand_over(now);
 }
 
-void FleetSide::remember(const DestinationMemory& memory) {
+void FleetAdapter::remember(const DestinationMemory& memory) {
   if (memory.out_since == 0) {
     outages_.erase(memory.destination);
   } else {
@@ -69,7 +69,7 @@
   }
 }
 
-void FleetSide::tick() {
+void FleetAdapter::tick() {
   timer_.expires_after(kTick);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
@@ -83,7 +83,7 @@
 }
 
 // What the register holds is run, also by a relay that was away, whatever its own file says.
-void FleetSide::follow_version() {
+void FleetAdapter::follow_version() {
   const auto version = fleet_->version();
   if (version.number == running_) return;
   if (!hooks_.take_over(version.text)) {
@@ -100,7 +100,7 @@
   std::fprintf(stderr, "runs version %llu\n", static_cast<unsigned long long>(running_));
 }
 
-void FleetSide::tell_fleet(Time now) {
+void FleetAdapter::tell_fleet(Time now) {
   const std::vector<int> held = outages_.empty() ? std::vector<int>{} : hooks_.held();
   std::erase_if(served_, [&](const auto& entry) { return now - entry.second > kLately; });
   std::map<int, Sight> sights;
@@ -120,7 +120,7 @@
   fleet_->sees(std::move(out));
 }
 
-void FleetSide::tell_module() {
+void FleetAdapter::tell_module() {
   for (const auto& [destination, memory] : outages_) {
     const Scouting::By next = memory.back_since == 0 ? by(fleet_->scouts(destination)) : Scouting::By::kAll;
     Scouting::By& last = scouting_[destination];
@@ -133,7 +133,7 @@
     return true;
   });
   for (const Sight& sight : fleet_->sights()) {
-    if (sight.served && return_) return_->told_served(sight.destination);
+    if (sight.served && return_) return_->on_served_elsewhere(sight.destination);
     auto& last = told_[sight.destination];
     // Times that were told by way of ages shake a little; what matters is an outage or a return that is new.
     const bool news = (sight.out_since != 0 && std::abs(sight.out_since - last.first) > kLately) ||
@@ -146,13 +146,13 @@
   }
 }
 
-void FleetSide::hand_over(Time now) {
+void FleetAdapter::hand_over(Time now) {
   if (!return_) return;
-  if (fleet_->heard()) return_->word(now);
+  if (fleet_->heard()) return_->on_fleet_ready(now);
   for (const int destination : hooks_.destinations())
-    return_->may_try(destination, fleet_->owns(destination));
+    return_->set_may_try(destination, fleet_->owns(destination));
   const auto stage = return_->stage();
-  for (const uint64_t number : return_->next(now)) {
+  for (const uint64_t number : return_->release(now)) {
     const auto it = waiting_.find(number);
     if (it == waiting_.end()) continue;
     hooks_.happened(it->second);
@@ -160,11 +160,11 @@
   }
   if (stage == return_->stage()) return;
   std::fprintf(stderr, "recovery: %s, %zu messages held\n",
-               return_->stage() == umberhoist::recovery::Stage::kServing ? "over"
-               : return_->alone()                                        ? "alone, on even parts"
-                                                                         : "with the fleet's word",
-               return_->left());
-  if (return_->stage() == umberhoist::recovery::Stage::kServing) return_.reset();
+               return_->stage() == umberhoist::recovery::Stage::kComplete ? "over"
+               : return_->without_fleet()                                 ? "alone, on even parts"
+                                                                          : "with the fleet's word",
+               return_->remaining());
+  if (return_->stage() == umberhoist::recovery::Stage::kComplete) return_.reset();
 }
 
 }  // namespace firspool::relay
--- a/relay/fleet_side.h
+++ b/relay/fleet_side.h
@@ -16,7 +16,7 @@
 
 namespace firspool::relay {
 
-class FleetSide {
+class FleetAdapter {
  public:
   struct Hooks {
     std::function<void(Event)> happened;
@@ -25,8 +25,8 @@
     std::function<bool(const std::string&)> take_over;  // a version's text; empty: the own file's
   };
 
-  FleetSide(boost::asio::io_context& io, std::unique_ptr<umberhoist::fleet::Fleet> fleet,
-            const Settings& settings, uint64_t seed, Hooks hooks);
+  FleetAdapter(boost::asio::io_context& io, std::unique_ptr<umberhoist::fleet::Fleet> fleet,
+               const Settings& settings, uint64_t seed, Hooks hooks);
 
   // A message from before the restart: handed to the module when its turn has come.
   void resume(const Arrival& in);
@@ -56,7 +56,7 @@
   std::map<int, Time> served_;                 // when a call was last served
   std::map<int, std::pair<Time, Time>> told_;  // what others saw, as the module was told: out, back
   std::map<uint64_t, Arrival> waiting_;
-  std::optional<umberhoist::recovery::Return> return_;
+  std::optional<umberhoist::recovery::StagedRecovery> return_;
   uint64_t running_ = 0;
   std::string text_;
 };
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -22,12 +22,12 @@
 
 firspool::relay::Config within_own_limit(firspool::relay::Config config) {
   rlimit own{};
-  if (::getrlimit(RLIMIT_NOFILE, &own) != 0 || own.rlim_cur >= config.sockets) return config;
+  if (::getrlimit(RLIMIT_NOFILE, &own) != 0 || own.rlim_cur >= config.max_sockets) return config;
   if (own.rlim_cur < kLeastDescriptors) {
     throw std::invalid_argument("the process may hold " + std::to_string(own.rlim_cur) +
                                 " descriptors; expected " + std::to_string(kLeastDescriptors) + " or more");
   }
-  config.sockets = own.rlim_cur;
+  config.max_sockets = own.rlim_cur;
   return config;
 }
 
@@ -57,23 +57,23 @@
 // Throws std::invalid_argument with one line where the fleet's file is wrong: nothing listens yet.
 std::unique_ptr<umberhoist::fleet::Fleet> join_fleet([[maybe_unused]] boost::asio::io_context& io,
                                                      firspool::relay::Config& config) {
-  if (config.fleet.empty()) return nullptr;
+  if (config.fleet_file.empty()) return nullptr;
 #ifdef UMBERHOIST_FLEET
-  const auto fleet = umberhoist::fleet::load_config(config.fleet);
+  const auto fleet = umberhoist::fleet::load_config(config.fleet_file);
   if (const std::string kept = umberhoist::fleet::kept_version(fleet); !kept.empty()) {
-    config = within_own_limit(firspool::relay::with_common(config, kept));
+    config = within_own_limit(firspool::relay::with_common_settings(config, kept));
   }
   // Its descriptors are the process's too.
   const size_t own = fleet.connections + fleet.voters.size() + kFleetDescriptors;
-  if (config.sockets < own + kLeastSockets) {
-    throw std::invalid_argument(config.fleet + ":1: connections are too many for limits.sockets of " +
-                                std::to_string(config.sockets) + "; expected " +
+  if (config.max_sockets < own + kLeastSockets) {
+    throw std::invalid_argument(config.fleet_file + ":1: connections are too many for limits.sockets of " +
+                                std::to_string(config.max_sockets) + "; expected " +
                                 std::to_string(own + kLeastSockets) + " sockets or more");
   }
-  config.sockets -= own;
+  config.max_sockets -= own;
   return umberhoist::fleet::join(io, fleet, config.seed);
 #else
-  throw std::invalid_argument(config.fleet +
+  throw std::invalid_argument(config.fleet_file +
                               ":1: this build knows no fleet; expected one made with UMBERHOIST_FLEET");
 #endif
 }
--- a/relay/message.h
+++ b/relay/message.h
@@ -9,20 +9,20 @@
 
 namespace firspool::relay {
 
-struct Handed {
+struct Submission {
   std::string id;
   std::string message_class;
   std::string key;     // idempotency key; empty if none
   std::string tenant;  // empty: none named
   int destination = 0;
-  Time life = 0;  // how long it may still be delivered, when its last byte came
+  Time lifetime = 0;  // how long it may still be delivered, when its last byte came
   std::string body;
 };
 
 struct Notice {
   std::string id;
   bool returned = false;  // else failed
-  Time after = 0;         // with returned: when to come again; 0: not told
+  Time retry_after = 0;   // with returned: when to come again; 0: not told
 };
 
 // For the module and time-outs.
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -38,19 +38,19 @@
 constexpr size_t kProbes = 8;
 
 size_t most_calls(const Config& config) {
-  const size_t half = (config.sockets - kOwnDescriptors) / 2;
+  const size_t half = (config.max_sockets - kOwnDescriptors) / 2;
   return std::min(half, static_cast<size_t>(config.settings.slots) + kProbes);
 }
 
 size_t most_clients(const Config& config) {
-  return std::min(config.sockets / 2, config.sockets - kOwnDescriptors - most_calls(config));
+  return std::min(config.max_sockets / 2, config.max_sockets - kOwnDescriptors - most_calls(config));
 }
 
 Upstream::Limits upstream_limits(const Config& config) {
   Upstream::Limits out;
   out.connect_timeout = config.settings.connect_timeout;
-  out.idle = config.settings.conn_idle;
-  out.most_open = config.sockets - kOwnDescriptors - most_clients(config);
+  out.idle_timeout = config.settings.conn_idle;
+  out.max_connections = config.max_sockets - kOwnDescriptors - most_clients(config);
   return out;
 }
 
@@ -65,8 +65,9 @@
              std::unique_ptr<umberhoist::state::Files> files, std::unique_ptr<umberhoist::fleet::Fleet> fleet)
     : io_(io),
       config_(config),
-      files_(files ? std::move(files) : umberhoist::state::real_files(config.state)),
-      journal_(*files_, {config.disk_bytes, config.name, config.settings.max_attempts, 0, config.durability}),
+      files_(files ? std::move(files) : umberhoist::state::real_files(config.state_folder)),
+      journal_(*files_,
+               {config.max_disk_bytes, config.name, config.settings.max_attempts, 0, config.durability}),
       policy_(config.settings, config.seed),
       room_(kBusyLeast, config.settings.max_retry_after > 0
                             ? std::clamp(config.settings.max_retry_after, kBusyLeast, kBusyMost)
@@ -86,17 +87,17 @@
             back(end.endpoint);
           }),
       watch_(
-          io, config.discovery, config.names,
-          [this, known = config.known.revision] { return std::max(known, directory_.revision()); },
+          io, config.discovery, config.list_names,
+          [this, known = config.known_hosts.revision] { return std::max(known, directory_.revision()); },
           [this](const HostList& list) { told(list); }, [this] { open(); },
           {{config.settings.ask_for_list ? config.settings.ask_every : 0, config.settings.relays},
            config.seed},
-          !config.known.hosts.empty()),
+          !config.known_hosts.hosts.empty()),
       listening_(std::move(listening)),
       open_timer_(io) {
   if (config.durability == umberhoist::state::Durability::kGroup) syncer_.emplace(1);
   if (fleet) {
-    FleetSide::Hooks hooks;
+    FleetAdapter::Hooks hooks;
     hooks.happened = [this](Event event) { happened(std::move(event)); };
     hooks.destinations = [this] {
       return std::vector<int>(directory_.destinations().begin(), directory_.destinations().end());
@@ -110,7 +111,7 @@
     fleet_.emplace(io_, std::move(fleet), config_.settings, config_.seed, std::move(hooks));
   }
   recall();
-  told(config_.known);
+  told(config_.known_hosts);
   open_timer_.expires_after(std::chrono::microseconds(kFirstWord));
   open_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) open();
@@ -130,7 +131,7 @@
   for (const auto& [name, value] : facts) {
     const nlohmann::json fact = nlohmann::json::parse(value);
     if (name == kRevision) list.revision = fact.get<int64_t>();
-    if (name.starts_with(kGone)) directory_.add_gone(name.substr(kGone.size()), fact.get<Time>());
+    if (name.starts_with(kGone)) directory_.add_removed(name.substr(kGone.size()), fact.get<Time>());
     if (name == kDestinations) {
       for (const int destination : fact.get<std::vector<int>>()) directory_.add_destination(destination);
     }
@@ -142,7 +143,7 @@
     }
   }
   list.hosts =
-      parse_list({{"revision", list.revision}, {"complete", true}, {"members", members}}, config_.names)
+      parse_list({{"revision", list.revision}, {"complete", true}, {"members", members}}, config_.list_names)
           .hosts;
   if (!list.hosts.empty()) told(list);
   for (const DestinationMemory& memory : memories) happened(memory);
@@ -176,9 +177,10 @@
 void Relay::open() {
   if (clients_ || stopping_since_ != 0) return;
   resume();
-  clients_.emplace(io_, config_.listen, most_clients(config_), [this](Handed handed, Clients::Answer answer) {
-    put(std::move(handed), std::move(answer));
-  });
+  clients_.emplace(io_, config_.listen, most_clients(config_),
+                   [this](Submission handed, ClientServer::ReplyCallback answer) {
+                     put(std::move(handed), std::move(answer));
+                   });
   listening_(clients_->address());
   for (const std::string& line : journal_.findings().lines)
     std::fprintf(stderr, "journal: %s\n", line.c_str());
@@ -234,10 +236,10 @@
     for (const auto& [number, held] : held_) first_end_ = std::min(first_end_, held.due);
     first_end_at_ = now;
   }
-  return "-BUSY " + std::to_string((room_.wait(now, bytes, first_end_) + kMs - 1) / kMs);
+  return "-BUSY " + std::to_string((room_.time_until_available(now, bytes, first_end_) + kMs - 1) / kMs);
 }
 
-void Relay::put(Handed handed, Clients::Answer answer) {
+void Relay::put(Submission handed, ClientServer::ReplyCallback answer) {
   if (const auto number = numbers_.find(handed.id); number != numbers_.end()) {  // sent once more
     const Held& held = held_.at(number->second);
     if (held.accepted) return answer_taken(held.safe_at, std::move(answer));
@@ -248,15 +250,15 @@
   if (message_class < 0) return answer("-ERR unknown class");
   const ClassSettings& settings = config_.settings.classes[message_class];
   if (settings.effect == Effect::kKeyed && handed.key.empty()) return answer("-ERR no idempotency key");
-  if (handed.life > settings.give_up + kClockSlack) return answer("-ERR d is too long");
+  if (handed.lifetime > settings.give_up + kClockSlack) return answer("-ERR d is too long");
   if (!config_.settings.tenants.empty() && tenant_of(handed.tenant) < 0) return answer("-ERR unknown tenant");
-  if (!directory_.known(handed.destination)) return answer("-ERR unknown destination");
+  if (!directory_.is_known(handed.destination)) return answer("-ERR unknown destination");
   if (held_.size() >= static_cast<size_t>(config_.settings.max_open)) return answer(busy(handed.body.size()));
   const uint64_t number = ++last_number_;
   Arrival in;
   in.id = number;
   in.message_class = message_class;
-  in.due = steady_now() + handed.life - std::min(kTransit, handed.life);
+  in.due = steady_now() + handed.lifetime - std::min(kTransit, handed.lifetime);
   in.destination = handed.destination;
   in.tenant = tenant_of(handed.tenant);
   numbers_[handed.id] = number;
@@ -270,7 +272,7 @@
   const auto destinations = directory_.destinations().size();
   auto change = directory_.apply(list, wall);
   journal_.remember(kRevision, std::to_string(directory_.revision()));
-  for (const std::string& id : directory_.prune(wall)) journal_.remember(kGone + id, "");
+  for (const std::string& id : directory_.prune_removed(wall)) journal_.remember(kGone + id, "");
   if (!change) return;
   const auto members = change->members;
   happened(std::move(*change));
@@ -287,7 +289,7 @@
 void Relay::remember_host(const ListedHost& host) {
   const bool gone = host.member.listing == Listing::kGone;
   journal_.remember(kHost + host.id, gone ? "" : host.text);
-  journal_.remember(kGone + host.id, gone ? std::to_string(directory_.gone().at(host.id)) : "");
+  journal_.remember(kGone + host.id, gone ? std::to_string(directory_.removed().at(host.id)) : "");
 }
 
 // Its connections are of no use, and a machine that takes its address over must not get them. It is known
@@ -296,7 +298,7 @@
   const ListedHost* host = directory_.find(endpoint);
   if (host == nullptr || host->member.listing != Listing::kGone) return;
   upstream_.close_idle(endpoint);
-  if (!out_.contains(endpoint)) directory_.forget(endpoint);
+  if (!out_.contains(endpoint)) directory_.erase(endpoint);
 }
 
 void Relay::back(const Endpoint& endpoint) {
@@ -313,7 +315,7 @@
   }
   // What is this relay's own is taken over with the fleet's word on what is not: inside a window there is
   // none.
-  fleet_->propose(config.common, [this, config, told](bool done, const std::string& why) {
+  fleet_->propose(config.common_settings, [this, config, told](bool done, const std::string& why) {
     if (done) {
       take_over(config);
       config_.text = config.text;  // a version that comes later keeps what is this relay's own
@@ -324,7 +326,7 @@
 
 bool Relay::take_over_version(const std::string& text) {
   try {
-    take_over(with_common(config_, text));
+    take_over(with_common_settings(config_, text));
     return true;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "configuration of the fleet: %s\n", error.what());
@@ -334,8 +336,8 @@
 
 void Relay::take_over(const Config& config) {
   config_.discovery = config.discovery;
-  watch_.move(config.discovery);
-  notices_.move(config.discovery);
+  watch_.set_address(config.discovery);
+  notices_.set_address(config.discovery);
 }
 
 std::pair<int, Endpoint> Relay::lane_of(const Member& member) const {
@@ -346,30 +348,31 @@
 
 // The last look before a call's first byte. While its connection came up the host may have been drained, its
 // destination may have told another call to wait, or the message may be over.
-Upstream::Start Relay::may_start(const Call& call) {
-  using Start = Upstream::Start;
+Upstream::StartDecision Relay::may_start(const Call& call) {
+  using StartDecision = Upstream::StartDecision;
   const auto it = held_.find(call.id);
   const ListedHost* host = directory_.find(call.endpoint);
-  if (it == held_.end() || !directory_.active(call.endpoint)) return Start::kNo;
-  if (steady_now() > call.start_by) return Start::kNo;
+  if (it == held_.end() || !directory_.is_active(call.endpoint)) return StartDecision::kNo;
+  if (steady_now() > call.start_by) return StartDecision::kNo;
   const auto wait = waits_.find(lane_of(host->member));
-  if (wait != waits_.end() && wait->second > steady_now()) return Start::kNo;
+  if (wait != waits_.end() && wait->second > steady_now()) return StartDecision::kNo;
   Held& held = it->second;
   if (held.recorded != call.attempt) {
-    if (!journal_.attempt(held.handed.id, call.attempt, wall_now(), host->member.zone)) return Start::kNo;
+    if (!journal_.attempt(held.handed.id, call.attempt, wall_now(), host->member.zone))
+      return StartDecision::kNo;
     held.recorded = call.attempt;
     held.safe_at = journal_.position();
   }
-  if (journal_.durable(held.safe_at)) return Start::kYes;
+  if (journal_.durable(held.safe_at)) return StartDecision::kYes;
   sync();
-  return Start::kLater;
+  return StartDecision::kLater;
 }
 
 // The same of a probe, which counts as a call: its connection may come up after its host was drained, or its
 // destination told a call to wait.
 bool Relay::may_probe(const Endpoint& endpoint) {
   const ListedHost* host = directory_.find(endpoint);
-  if (host == nullptr || !directory_.active(endpoint)) return false;
+  if (host == nullptr || !directory_.is_active(endpoint)) return false;
   const auto wait = waits_.find(lane_of(host->member));
   return wait == waits_.end() || wait->second <= steady_now();
 }
@@ -436,7 +439,7 @@
     const auto [line, fresh] = answers.try_emplace(item.number, kTaken);
     const auto held = held_.find(item.number);
     if (fresh && held != held_.end()) {
-      const Handed& handed = held->second.handed;
+      const Submission& handed = held->second.handed;
       if (const auto away = turned_away.find(item.number); away != turned_away.end()) {
         line->second = away->second;
       } else if (journal_.accepted(handed, wall_now() + held->second.due - steady_now())) {
@@ -459,7 +462,7 @@
   }
 }
 
-void Relay::answer_taken(uint64_t position, Clients::Answer answer) {
+void Relay::answer_taken(uint64_t position, ClientServer::ReplyCallback answer) {
   if (journal_.durable(position)) return answer(kTaken);
   unanswered_.push_back({position, std::move(answer)});
 }
@@ -494,7 +497,7 @@
     unanswered_.pop_front();
   }
   send_notices();
-  upstream_.proceed();
+  upstream_.retry_deferred();
   this->sync();
 }
 
@@ -558,7 +561,7 @@
   } else {
     journal_.done(held->second.handed.id);
   }
-  room_.ended(steady_now(), held->second.handed.body.size());
+  room_.record_release(steady_now(), held->second.handed.body.size());
   numbers_.erase(held->second.handed.id);
   held_.erase(held);
 }
@@ -609,10 +612,10 @@
   const Time age = steady_now() - stopping_since_;
   if (age >= kServeOn && !closed_) {
     closed_ = true;
-    if (clients_) clients_->finish();
+    if (clients_) clients_->shut_down();
   }
   const bool idle = held_.empty() && notices_.empty() && unrecorded_.empty() && unsent_.empty() &&
-                    unanswered_.empty() && (!clients_ || clients_->settled());
+                    unanswered_.empty() && (!clients_ || clients_->all_closed());
   if (age >= kLastCall || (closed_ && idle)) return io_.stop();
   stop_timer_.expires_after(std::chrono::microseconds(kStopPoll));
   stop_timer_.async_wait([this](const boost::system::error_code& error) {
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -44,7 +44,7 @@
 
  private:
   struct Held {
-    Handed handed;
+    Submission handed;
     Time due = 0;
     int attempts = 0;
     bool accepted = false;  // its record is written
@@ -58,7 +58,7 @@
   };
   struct Pending {  // handed in during this turn, not yet decided on
     uint64_t number = 0;
-    Clients::Answer answer;
+    ClientServer::ReplyCallback answer;
   };
 
   void take_over(const Config& config);
@@ -72,9 +72,9 @@
   int class_of(const std::string& name) const;
   int tenant_of(const std::string& name) const;
   std::string busy(size_t bytes);
-  void put(Handed handed, Clients::Answer answer);
+  void put(Submission handed, ClientServer::ReplyCallback answer);
   void told(const HostList& list);
-  Upstream::Start may_start(const Call& call);
+  Upstream::StartDecision may_start(const Call& call);
   bool may_probe(const Endpoint& endpoint);
   void ended(const AttemptEnded& end, bool began);
   void back(const Endpoint& endpoint);
@@ -85,7 +85,7 @@
   void finish(uint64_t number, std::optional<Notice> notice);
   void record_notices();
   void send_notices();
-  void answer_taken(uint64_t position, Clients::Answer answer);
+  void answer_taken(uint64_t position, ClientServer::ReplyCallback answer);
   void sync();
   void synced(const umberhoist::state::Journal::Sync& sync, bool good);
   void arm();
@@ -104,7 +104,7 @@
   uint64_t last_number_ = 0;
   std::unordered_map<uint64_t, Held> held_;
   std::unordered_map<std::string, uint64_t> numbers_;
-  umberhoist::admission::RoomForecast room_;
+  umberhoist::admission::CapacityForecast room_;
   Time first_end_ = 0;                              // of those held, as it was
   Time first_end_at_ = 0;                           // at this time
   std::map<std::pair<int, Endpoint>, Time> waits_;  // told waits: until when nothing goes there
@@ -117,18 +117,18 @@
   bool closed_ = false;            // clients were let go
   std::deque<Notice> unrecorded_;  // not sent: they could not be written yet
   boost::asio::steady_timer record_timer_;
-  std::deque<Unsafe<Clients::Answer>> unanswered_;
+  std::deque<Unsafe<ClientServer::ReplyCallback>> unanswered_;
   std::deque<Unsafe<Notice>> unsent_;
   bool sync_failed_ = false;  // and is tried again soon
   bool sync_told_ = false;    // in the log, once for each time that the disk fails
   boost::asio::steady_timer sync_timer_;
-  Notices notices_;
+  NoticeSender notices_;
   Upstream upstream_;
-  Watch watch_;
+  DiscoveryWatch watch_;
   std::function<void(const tcp::endpoint&)> listening_;
   boost::asio::steady_timer open_timer_;
-  std::optional<Clients> clients_;  // once what was taken on before is resumed
-  std::optional<FleetSide> fleet_;
+  std::optional<ClientServer> clients_;  // once what was taken on before is resumed
+  std::optional<FleetAdapter> fleet_;
   std::optional<boost::asio::thread_pool>
       syncer_;  // with group durability; the last to come, the first to go
 };
--- a/relay/resp.cpp
+++ b/relay/resp.cpp
@@ -38,12 +38,12 @@
   size_t at = 0;
   const auto count = header(bytes, at, '*');
   if (!count) return {};
-  if (*count == 0 || *count > kMostWords) throw RespError("number of words is out of range");
+  if (*count == 0 || *count > kMaxWords) throw RespError("number of words is out of range");
   std::vector<std::string_view> words;
   while (words.size() < *count) {
     const auto length = header(bytes, at, '$');
     if (!length) return {};
-    if (*length > kMostWord || at + *length > kMostBytes) throw RespError("word is too long");
+    if (*length > kMaxWordBytes || at + *length > kMaxCommandBytes) throw RespError("word is too long");
     if (bytes.size() < at + *length + 2) return {};
     words.push_back(bytes.substr(at, *length));
     if (bytes.substr(at + *length, 2) != "\r\n") throw RespError("word does not end where it should");
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -16,9 +16,9 @@
 
 class RespParser {
  public:
-  static constexpr size_t kMostWords = 16;
-  static constexpr size_t kMostWord = 64 * 1024;  // the largest body
-  static constexpr size_t kMostBytes = kMostWord + 8 * 1024;
+  static constexpr size_t kMaxWords = 16;
+  static constexpr size_t kMaxWordBytes = 64 * 1024;  // the largest body
+  static constexpr size_t kMaxCommandBytes = kMaxWordBytes + 8 * 1024;
 
   void feed(std::string_view bytes);
 
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -183,14 +183,14 @@
 
   void write() {
     // The connection took its time: what was told meanwhile counts.
-    const Start start = !probe_                              ? owner_->may_start_(call_)
-                        : owner_->may_probe_(call_.endpoint) ? Start::kYes
-                                                             : Start::kNo;
-    if (start == Start::kLater) {
+    const StartDecision start = !probe_                              ? owner_->may_start_(call_)
+                                : owner_->may_probe_(call_.endpoint) ? StartDecision::kYes
+                                                                     : StartDecision::kNo;
+    if (start == StartDecision::kLater) {
       owner_->later_.push_back(shared_from_this());
       return;
     }
-    if (start == Start::kNo) {
+    if (start == StartDecision::kNo) {
       idle_ = true;
       return finish(Outcome::kMoot);
     }
@@ -376,7 +376,7 @@
 };
 
 Upstream::Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-                   MayStart may_start, MayProbe may_probe, Ended ended, Probed probed)
+                   MayStart may_start, MayProbe may_probe, AttemptCallback ended, ProbeCallback probed)
     : io_(io),
       limits_(limits),
       report_fields_(std::move(report_fields)),
@@ -405,11 +405,11 @@
 
 void Upstream::start(std::shared_ptr<Exchange> exchange) {
   exchanges_.emplace(exchange->name(), exchange);
-  while (idle_count_ > 0 && exchanges_.size() + idle_count_ > limits_.most_open) close_oldest();
+  while (idle_count_ > 0 && exchanges_.size() + idle_count_ > limits_.max_connections) close_oldest();
   exchange->start();
 }
 
-void Upstream::proceed() {
+void Upstream::retry_deferred() {
   for (const auto& exchange : std::exchange(later_, {})) exchange->proceed();
 }
 
@@ -436,7 +436,7 @@
     --idle_count_;
     Error gone;
     const bool same = last.socket.remote_endpoint(gone) == address && !gone;
-    const bool young = steady_now() - last.since < limits_.idle - kIdleMargin;
+    const bool young = steady_now() - last.since < limits_.idle_timeout - kIdleMargin;
     if (same && young && usable(last.socket)) return last;
   }
   return {};
@@ -444,7 +444,7 @@
 
 void Upstream::keep(const Endpoint& endpoint, tcp::socket socket) {
   std::vector<Idle>& list = idle_[endpoint];
-  if (list.size() >= kMostPerHost || exchanges_.size() + idle_count_ >= limits_.most_open) return;
+  if (list.size() >= kMostPerHost || exchanges_.size() + idle_count_ >= limits_.max_connections) return;
   list.push_back({std::move(socket), steady_now()});
   ++idle_count_;
 }
@@ -462,7 +462,7 @@
   const Time now = steady_now();
   for (auto& [endpoint, list] : idle_) {
     idle_count_ -= std::erase_if(list, [&](Idle& idle) {
-      return now - idle.since >= limits_.idle - kIdleMargin || !usable(idle.socket);
+      return now - idle.since >= limits_.idle_timeout - kIdleMargin || !usable(idle.socket);
     });
   }
   std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -31,27 +31,27 @@
  public:
   struct Limits {
     Time connect_timeout = 0;
-    Time idle = 0;           // a host closes a connection that has been idle for so long
-    size_t most_open = 256;  // connections, with a call on them or idle
+    Time idle_timeout = 0;         // a host closes a connection that has been idle for so long
+    size_t max_connections = 256;  // connections, with a call on them or idle
   };
   // Asked right before a call's first byte: a call that may no longer start ends as kMoot, one that may not
-  // yet is asked for again by `proceed`.
-  enum class Start { kYes, kNo, kLater };
-  using MayStart = std::function<Start(const Call&)>;
-  using MayProbe = std::function<bool(const Endpoint&)>;               // the same of a probe
-  using Ended = std::function<void(const AttemptEnded&, bool began)>;  // began: MayStart allowed it
-  using Probed = std::function<void(const ProbeEnded&)>;
+  // yet is asked for again by `retry_deferred`.
+  enum class StartDecision { kYes, kNo, kLater };
+  using MayStart = std::function<StartDecision(const Call&)>;
+  using MayProbe = std::function<bool(const Endpoint&)>;                         // the same of a probe
+  using AttemptCallback = std::function<void(const AttemptEnded&, bool began)>;  // began: MayStart allowed it
+  using ProbeCallback = std::function<void(const ProbeEnded&)>;
 
   Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-           MayStart may_start, MayProbe may_probe, Ended ended, Probed probed);
+           MayStart may_start, MayProbe may_probe, AttemptCallback ended, ProbeCallback probed);
   ~Upstream();
 
   void call(Call call);
   void cancel(uint64_t id, int attempt);
   void probe(const Endpoint& endpoint, const tcp::endpoint& address);
   void close_idle(const Endpoint& endpoint);
-  void proceed();
-  size_t out() const { return exchanges_.size(); }
+  void retry_deferred();
+  size_t in_flight() const { return exchanges_.size(); }
 
  private:
   class Exchange;
@@ -71,8 +71,8 @@
   std::vector<std::string> report_fields_;
   MayStart may_start_;
   MayProbe may_probe_;
-  Ended ended_;
-  Probed probed_;
+  AttemptCallback ended_;
+  ProbeCallback probed_;
   boost::asio::steady_timer sweeper_;
   uint64_t last_probe_ = 0;
   size_t idle_count_ = 0;
--- a/state/format.cpp
+++ b/state/format.cpp
@@ -80,7 +80,7 @@
   out.number(a.order).number(a.due).number(static_cast<int32_t>(a.message.destination));
   const uint8_t notice = !a.owed ? 0 : a.owed->returned ? 2 : 1;
   out.number(static_cast<uint8_t>(notice | (a.message.tenant.empty() ? 0 : kNamesTenant)));
-  out.number(a.owed ? a.owed->after : Time{0});
+  out.number(a.owed ? a.owed->retry_after : Time{0});
   out.number(static_cast<uint16_t>(a.attempts.size()));
   for (const Attempt& t : a.attempts) {
     out.number(static_cast<uint16_t>(t.number)).number(t.sent).number(static_cast<int16_t>(t.zone));
--- a/state/format.h
+++ b/state/format.h
@@ -60,7 +60,7 @@
   Time due = 0;
   std::vector<Attempt> attempts;
   std::optional<firspool::relay::Notice> owed;  // its id is the message's
-  firspool::relay::Handed message;
+  firspool::relay::Submission message;
 };
 
 std::string encode(const Accepted& accepted);
--- a/state/inspect.cpp
+++ b/state/inspect.cpp
@@ -78,7 +78,7 @@
     if (const auto* accepted = std::get_if<Accepted>(&record.content)) {
       about.accepted = *accepted;
       for (const Attempt& t : accepted->attempts) about.add(t);
-      if (accepted->owed) about.owed = Owed{accepted->owed->returned, accepted->owed->after};
+      if (accepted->owed) about.owed = Owed{accepted->owed->returned, accepted->owed->retry_after};
     } else if (const auto* attempt = std::get_if<Attempt>(&record.content)) {
       about.add(*attempt);
     } else if (const int* number = std::get_if<int>(&record.content)) {
--- a/state/journal.cpp
+++ b/state/journal.cpp
@@ -263,7 +263,7 @@
         orders_[entry.id] = accepted->order;
       }
       for (const Attempt& t : accepted->attempts) add(0, entry, t);
-      if (accepted->owed) entry.owed = Owed{accepted->owed->returned, accepted->owed->after};
+      if (accepted->owed) entry.owed = Owed{accepted->owed->returned, accepted->owed->retry_after};
       accepted->attempts = entry.attempts;
       entry.copy = static_cast<uint32_t>(framed_bytes(*accepted));
       Entry& kept = entries_[accepted->order] = std::move(entry);
@@ -757,7 +757,7 @@
 
 // ---- What happens to messages ----
 
-bool Journal::accepted(const Handed& m, Time due) {
+bool Journal::accepted(const Submission& m, Time due) {
   if (!ends_.empty() && !write_pending()) return false;
   if (orders_.contains(m.id)) return false;
   Accepted out;
@@ -809,8 +809,8 @@
   uint64_t order = 0;
   Entry* entry = find(notice.id, order);
   if (entry == nullptr) return true;  // it was over before
-  if (!append(Kind::kOwed, encode_owed(order, notice.returned, notice.after))) return false;
-  entry->owed = Owed{notice.returned, notice.after};
+  if (!append(Kind::kOwed, encode_owed(order, notice.returned, notice.retry_after))) return false;
+  entry->owed = Owed{notice.returned, notice.retry_after};
   touch(order);
   return true;
 }
--- a/state/journal.h
+++ b/state/journal.h
@@ -20,11 +20,11 @@
 
 namespace umberhoist::state {
 
-using firspool::relay::Handed;
 using firspool::relay::Notice;
+using firspool::relay::Submission;
 
 struct Recovered {
-  Handed message;
+  Submission message;
   Time due = 0;  // wall clock, as all times here
   int attempts = 0;
   std::map<int, std::pair<Time, int>> unsettled;  // attempts that may have run: when sent, to which zone
@@ -70,7 +70,7 @@
   std::map<std::string, std::string> remembered() const;
 
   // False: there is no room or it could not be written, and the message must not be taken on.
-  bool accepted(const Handed& message, Time due);
+  bool accepted(const Submission& message, Time due);
   // False: it could not be written, and the call must not start.
   bool attempt(const std::string& id, int number, Time sent, int zone);
   void never_ran(const std::string& id, int number);
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -12,7 +12,7 @@
 namespace firspool::relay {
 namespace {
 
-using testing::put_bytes;
+using testing::put_command;
 using testing::Socket;
 
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
@@ -20,7 +20,7 @@
 class ClientsTest : public ::testing::Test {
  protected:
   Socket connect() { return Socket::connect(clients_.address().port()); }
-  static std::string put(const std::string& id) { return put_bytes(id, "c=safe,d=1000,dest=7"); }
+  static std::string put(const std::string& id) { return put_command(id, "c=safe,d=1000,dest=7"); }
 
   // Lets the relay's side run until something shows at a client; this thread plays both.
   void run_until_readable(const Socket& client) {
@@ -29,7 +29,7 @@
   }
   std::string line(Socket& client) {
     run_until_readable(client);
-    return client.line();
+    return client.read_line();
   }
   // It has seen the end of the stream, which is no reset.
   bool ended(const Socket& client) {
@@ -38,7 +38,7 @@
     return ::recv(client.fd(), &byte, 1, 0) == 0;
   }
   void run_until_settled() {
-    while (!clients_.settled()) io_.run_one();
+    while (!clients_.all_closed()) io_.run_one();
   }
   static size_t descriptors() {
     size_t count = 0;
@@ -49,19 +49,21 @@
   boost::asio::io_context io_;
   std::vector<std::string> taken_;
   bool answers_at_once_ = true;
-  std::vector<Clients::Answer> later_;
-  Clients clients_{
-      io_, {boost::asio::ip::address_v4::loopback(), 0}, 64, [this](Handed handed, Clients::Answer answer) {
-        taken_.push_back(handed.id);
-        answers_at_once_ ? answer("+OK") : later_.push_back(std::move(answer));
-      }};
+  std::vector<ClientServer::ReplyCallback> later_;
+  ClientServer clients_{io_,
+                        {boost::asio::ip::address_v4::loopback(), 0},
+                        64,
+                        [this](Submission handed, ClientServer::ReplyCallback answer) {
+                          taken_.push_back(handed.id);
+                          answers_at_once_ ? answer("+OK") : later_.push_back(std::move(answer));
+                        }};
 };
 
 // In the queue of the listener when that closes: its client has connected, and sent its request.
 TEST_F(ClientsTest, ARequestThatWaitsToBeAcceptedAtTheEndIsAnswered) {
   Socket client = connect();
   ASSERT_TRUE(client.send(put("a1")));
-  clients_.finish();
+  clients_.shut_down();
   EXPECT_EQ(line(client), "+OK");
   EXPECT_TRUE(ended(client));
   client.close();
@@ -87,7 +89,7 @@
     queued.push_back(connect());
     ASSERT_TRUE(queued.back().send(put("queued")));
   }
-  clients_.finish();
+  clients_.shut_down();
   for (Socket& client : resting) EXPECT_TRUE(ended(client));
   for (auto* group : {&unread, &queued}) {
     for (Socket& client : *group) EXPECT_EQ(line(client), "+OK");
@@ -104,7 +106,7 @@
     for (Socket& client : *group) EXPECT_TRUE(ended(client));
   }
   EXPECT_EQ(taken_.size(), 50u);
-  EXPECT_FALSE(clients_.settled()) << "they have not closed yet";
+  EXPECT_FALSE(clients_.all_closed()) << "they have not closed yet";
   for (auto* group : {&resting, &half, &unread, &pipelined, &queued}) group->clear();
   run_until_settled();
 }
@@ -114,9 +116,9 @@
   Socket client = connect();
   ASSERT_TRUE(client.send(put("a1")));
   while (later_.empty()) io_.run_one();
-  clients_.finish();
+  clients_.shut_down();
   while (io_.poll() > 0) continue;
-  EXPECT_FALSE(clients_.settled());
+  EXPECT_FALSE(clients_.all_closed());
   later_.front()("+OK");
   EXPECT_EQ(line(client), "+OK");
   EXPECT_TRUE(ended(client));
@@ -138,12 +140,12 @@
     handled = 0;
     for (const Time from = steady_now(); steady_now() - from < 200'000;) handled += io_.poll();
   }
-  clients_.finish();
+  clients_.shut_down();
   size_t answers = 0;
   std::thread reader([&] {
-    while (client.line() == "$" + std::to_string(kBytes)) {
-      EXPECT_EQ(client.exactly(kBytes), std::string(kBytes, 'x'));
-      EXPECT_EQ(client.line(), "");
+    while (client.read_line() == "$" + std::to_string(kBytes)) {
+      EXPECT_EQ(client.read_exactly(kBytes), std::string(kBytes, 'x'));
+      EXPECT_EQ(client.read_line(), "");
       ++answers;
     }
     char byte = 0;
@@ -162,13 +164,13 @@
   Socket client = connect();
   ASSERT_TRUE(client.send(kPing));
   ASSERT_EQ(line(client), "+PONG");
-  clients_.finish();
+  clients_.shut_down();
   ASSERT_TRUE(ended(client));
   ASSERT_TRUE(client.send(put("late")));
   for (int i = 0; i < 3; ++i) io_.run_one();
   EXPECT_TRUE(ended(client));
   EXPECT_TRUE(taken_.empty());
-  EXPECT_FALSE(clients_.settled());
+  EXPECT_FALSE(clients_.all_closed());
   client.close();
   run_until_settled();
 }
@@ -178,7 +180,7 @@
   Socket client = connect();
   ASSERT_TRUE(client.send(kPing));
   ASSERT_EQ(line(client), "+PONG");
-  clients_.finish();
+  clients_.shut_down();
   const Time from = steady_now();
   run_until_settled();
   EXPECT_LT(steady_now() - from, 3'000'000);
@@ -188,7 +190,7 @@
 // A connection that came just before the end may have its request on the way.
 TEST_F(ClientsTest, AConnectionThatHasJustComeGetsAMomentToSpeak) {
   Socket client = connect();
-  clients_.finish();
+  clients_.shut_down();
   while (io_.poll() > 0) continue;
   ASSERT_TRUE(client.send(put("a1")));
   EXPECT_EQ(line(client), "+OK");
@@ -219,7 +221,7 @@
   ASSERT_TRUE(client.send(put("a1")));
   EXPECT_EQ(line(client), "+OK");
   client.close();
-  clients_.finish();
+  clients_.shut_down();
   run_until_settled();
 }
 
--- a/tests/ctl/journal_test.cpp
+++ b/tests/ctl/journal_test.cpp
@@ -25,7 +25,7 @@
     const auto files = real_files(folder_);
     Journal journal(*files, {1'000'000, "n0", 6, 1});
     for (const std::string id : {"a", "b", "c"}) {
-      Handed m;
+      Submission m;
       m.id = id;
       m.message_class = "renewal";
       m.key = "k" + id;
--- a/tests/durability_test.cpp
+++ b/tests/durability_test.cpp
@@ -91,8 +91,8 @@
     // A call that stays open: its first byte shows that the sync of all that was written before it has ended,
     // and nothing more is written. From here on each sync is the test's.
     Socket client = this->client();
-    client.send(put_bytes("00000000000000a0", kFacts));
-    EXPECT_EQ(client.line(), "+OK");
+    client.send(put_command("00000000000000a0", kFacts));
+    EXPECT_EQ(client.read_line(), "+OK");
     open_ = host_.accept();
     EXPECT_TRUE(read_request(open_));
     EXPECT_EQ(ping(), "+PONG");
@@ -111,7 +111,7 @@
   std::string ping() const {
     Socket other = client();
     other.send("*1\r\n$4\r\nPING\r\n");
-    return other.line();
+    return other.read_line();
   }
   static bool silent(const Socket& socket) {
     pollfd poll{socket.fd(), POLLIN, 0};
@@ -124,7 +124,7 @@
 
   static constexpr const char* kFacts = "c=safe,d=60000,dest=7";
   std::filesystem::path folder_ = make_folder();
-  Discovery discovery_;
+  FakeDiscovery discovery_;
   Socket host_ = Socket::listen();
   Socket open_;
   boost::asio::io_context io_{1};
@@ -136,23 +136,23 @@
 
 TEST_F(GroupDurability, NothingIsAnsweredOrSentBeforeTheDiskHasIt) {
   Socket first = client();
-  first.send(put_bytes("00000000000000a1", kFacts));
+  first.send(put_command("00000000000000a1", kFacts));
   ASSERT_TRUE(files_->entered(1));
   Socket call = host_.accept();  // connected, and no more
   Socket second = client();
-  second.send(put_bytes("00000000000000a2", kFacts));
+  second.send(put_command("00000000000000a2", kFacts));
   EXPECT_EQ(ping(), "+PONG") << "the loop goes on";
   EXPECT_TRUE(silent(first));
   EXPECT_TRUE(silent(call));
   files_->permit(true);
-  EXPECT_EQ(first.line(), "+OK");
+  EXPECT_EQ(first.read_line(), "+OK");
   // The second one, and the first one's attempt, came after that sync had begun: one more covers both.
   ASSERT_TRUE(files_->entered(2));
   EXPECT_EQ(ping(), "+PONG");
   EXPECT_TRUE(silent(second));
   EXPECT_TRUE(silent(call));
   files_->release();
-  EXPECT_EQ(second.line(), "+OK");
+  EXPECT_EQ(second.read_line(), "+OK");
   const auto request = read_request(call);
   ASSERT_TRUE(request);
   EXPECT_EQ(request->headers.at("x-call-id"), "00000000000000a1");
@@ -160,7 +160,7 @@
 
 TEST_F(GroupDurability, AFailedSyncClaimsNothingAndIsMadeUpFor) {
   Socket first = client();
-  first.send(put_bytes("00000000000000a1", kFacts));
+  first.send(put_command("00000000000000a1", kFacts));
   ASSERT_TRUE(files_->entered(1));
   Socket call = host_.accept();
   files_->permit(false);
@@ -169,7 +169,7 @@
   EXPECT_TRUE(silent(first));
   EXPECT_TRUE(silent(call));
   files_->release();
-  EXPECT_EQ(first.line(), "+OK");
+  EXPECT_EQ(first.read_line(), "+OK");
   const auto request = read_request(call);
   ASSERT_TRUE(request);
   EXPECT_EQ(request->headers.at("x-call-id"), "00000000000000a1");
@@ -179,15 +179,15 @@
 // what was never sent is given back although it may not be repeated.
 TEST_F(GroupDurability, ACallWhoseTimeEndsWhileItsRecordIsSyncedNeverRan) {
   Socket first = client();
-  first.send(put_bytes("00000000000000a1", "c=unsafe,d=1500,dest=7"));
+  first.send(put_command("00000000000000a1", "c=unsafe,d=1500,dest=7"));
   ASSERT_TRUE(files_->entered(1));
   Socket call = host_.accept();
   files_->permit(true);
-  EXPECT_EQ(first.line(), "+OK");
+  EXPECT_EQ(first.read_line(), "+OK");
   ASSERT_TRUE(files_->entered(2));  // of the attempt's record
-  EXPECT_TRUE(call.ended()) << "something was written";
+  EXPECT_TRUE(call.closed_by_peer()) << "something was written";
   files_->release();
-  EXPECT_EQ(discovery_.notice().at("state"), "returned");
+  EXPECT_EQ(discovery_.next_notice().at("state"), "returned");
 }
 
 }  // namespace
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using firspool::testing::config_json;
-using firspool::testing::Discovery;
-using firspool::testing::Host;
+using firspool::testing::FakeDiscovery;
+using firspool::testing::FakeHost;
 using firspool::testing::member_json;
 using register_pb::Ask;
 
@@ -37,8 +37,8 @@
     return std::get<shards::Map>(parsed);
   }
 
-  Host host;
-  Discovery discovery;
+  FakeHost host;
+  FakeDiscovery discovery;
   std::unique_ptr<Relays> relays;
 };
 
@@ -330,9 +330,9 @@
   relays->start_all();
   auto client = relays->client(1);  // its own file has room for twenty
   for (int m = 0; m < 3; ++m) {
-    client.send(firspool::testing::put_bytes("0000000000000b0" + std::to_string(m),
-                                             "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7"));
-    const std::string answer = client.line();
+    client.send(firspool::testing::put_command("0000000000000b0" + std::to_string(m),
+                                               "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7"));
+    const std::string answer = client.read_line();
     EXPECT_EQ(answer.substr(0, 3), m < 2 ? "+OK" : "-BU") << m;
   }
 }
@@ -347,10 +347,11 @@
   EXPECT_FALSE(refused.done);
   EXPECT_NE(refused.text.find("changes are closed"), std::string::npos) << refused.text;
   auto client = relays->client(0);
-  client.send(firspool::testing::put_bytes("00000000000000a1", "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7"));
-  EXPECT_EQ(client.line(), "+OK");
-  EXPECT_EQ(host.next().headers.at("x-call-id"), "00000000000000a1");
-  host.answer("200");
+  client.send(
+      firspool::testing::put_command("00000000000000a1", "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7"));
+  EXPECT_EQ(client.read_line(), "+OK");
+  EXPECT_EQ(host.next_request().headers.at("x-call-id"), "00000000000000a1");
+  host.respond("200");
 }
 
 // ---- Delivery ----
@@ -363,22 +364,22 @@
     auto client = relays->client(i);
     for (int m = 0; m < 3; ++m) {
       const std::string id = "00000000000000" + std::to_string(i) + std::to_string(m);
-      client.send(firspool::testing::put_bytes(
+      client.send(firspool::testing::put_command(
           id, "c=keyed,d=60000,k=5c0f6e1a2b3d4c5" + std::to_string(m) + ",dest=7"));
-      ASSERT_EQ(client.line(), "+OK");
+      ASSERT_EQ(client.read_line(), "+OK");
       owed.insert(id);
     }
   }
   relays->kill_all();
-  host.drop();
+  host.close();
   relays->start_all();
   std::map<std::string, int> served;
   while (served.size() < owed.size()) {
-    const auto call = host.next();
+    const auto call = host.next_request();
     if (!call.headers.contains("x-call-id")) break;  // the deadline
     ++served[call.headers.at("x-call-id")];
-    host.answer("200", "Connection: close\r\n");
-    host.drop();
+    host.respond("200", "Connection: close\r\n");
+    host.close();
   }
   for (const auto& id : owed) EXPECT_GE(served[id], 1) << id;
   for (size_t i = 0; i < 3; ++i) EXPECT_TRUE(relays->wait_for(i, "recovery: over"));
@@ -397,8 +398,8 @@
     for (int m = 0; !over; ++m) {
       for (size_t i = 0; i < 3; ++i) {
         const std::string id = Relays::name(i) + "x" + std::to_string(m);
-        lines[i].send(firspool::testing::put_bytes(id, "c=safe,d=8000,k=5c0f6e1a2b3d4c59,dest=7"));
-        lines[i].line();
+        lines[i].send(firspool::testing::put_command(id, "c=safe,d=8000,k=5c0f6e1a2b3d4c59,dest=7"));
+        lines[i].read_line();
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(200));  // a rate of traffic
     }
@@ -409,15 +410,15 @@
   // Every call is lost, until the last twelve in a row were the owner's alone.
   int in_a_row = 0;
   for (int calls = 0; in_a_row < 12 && calls < 400; ++calls) {
-    in_a_row = sender(host.next()) == owner ? in_a_row + 1 : 0;
+    in_a_row = sender(host.next_request()) == owner ? in_a_row + 1 : 0;
     host.reset();
   }
   EXPECT_EQ(in_a_row, 12);
   // Then it is up: the others send as soon as they have the owner's word.
   for (std::set<std::string> seen; seen.size() < 3;) {
-    seen.insert(sender(host.next()));
-    host.answer("200", "Connection: close\r\n");
-    host.drop();
+    seen.insert(sender(host.next_request()));
+    host.respond("200", "Connection: close\r\n");
+    host.close();
   }
   over = true;
   clients.join();
@@ -453,7 +454,8 @@
 
 TEST_F(Fleet, ARelayWithoutFleetListensOpensAndRunsNothingNewBesideOneThatHasIt) {
   begin(3);
-  firspool::testing::Program alone(config_json(discovery.address(), {member_json("s-1", host.address(), 7)}));
+  firspool::testing::RelayProcess alone(
+      config_json(discovery.address(), {member_json("s-1", host.address(), 7)}));
   alone.start();
   EXPECT_EQ(listening_sockets(alone.pid()), 1U);
   size_t threads = 0;
@@ -463,10 +465,11 @@
   }
   EXPECT_EQ(threads, 1U);
   auto client = alone.client();
-  client.send(firspool::testing::put_bytes("00000000000000a1", "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7"));
-  EXPECT_EQ(client.line(), "+OK");
-  EXPECT_EQ(host.next().headers.at("x-call-id"), "00000000000000a1");
-  host.answer("200");
+  client.send(
+      firspool::testing::put_command("00000000000000a1", "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7"));
+  EXPECT_EQ(client.read_line(), "+OK");
+  EXPECT_EQ(host.next_request().headers.at("x-call-id"), "00000000000000a1");
+  host.respond("200");
 }
 
 }  // namespace
--- a/tests/members/ask_pace_test.cpp
+++ b/tests/members/ask_pace_test.cpp
@@ -23,13 +23,13 @@
 };
 
 // Relays of a fleet of so many that start in one moment with the lists they kept.
-Told start_at_once(int starting, AskSettings settings, double asks_per_s, uint64_t seed) {
+Told start_at_once(int starting, WatchScheduleOptions settings, double asks_per_s, uint64_t seed) {
   Overbooked directory(asks_per_s, 2 * kSecond, 2);
-  std::vector<AskPace> paces;
+  std::vector<WatchScheduler> paces;
   std::priority_queue<std::pair<Time, int>, std::vector<std::pair<Time, int>>, std::greater<>> due;
   for (int i = 0; i < starting; ++i) {
     paces.emplace_back(settings, seed * 1000 + static_cast<uint64_t>(i));
-    due.push({paces.back().first(true), i});
+    due.push({paces.back().initial_delay(true), i});
   }
   Told out;
   while (!due.empty() && due.top().first < 60 * kSecond) {
@@ -41,13 +41,13 @@
       out.by_20_s += answer.at <= 20 * kSecond;
       ++out.by_60_s;
     } else {
-      due.push({answer.at + paces[static_cast<size_t>(relay)].again(WatchEnd::kRefused), relay});
+      due.push({answer.at + paces[static_cast<size_t>(relay)].retry_delay(WatchEnd::kRefused), relay});
     }
   }
   return out;
 }
 
-TEST(AskPace, SevenInTenRelaysKilledInOneSecondWithListsOverbooked) {
+TEST(WatchScheduler, SevenInTenRelaysKilledInOneSecondWithListsOverbooked) {
   for (const uint64_t seed : {1, 2, 3}) {
     // As where an ask costs nothing: all ask at once, and again within seconds.
     const Told hasty = start_at_once(70, {0, 100}, 7, seed);
@@ -60,7 +60,7 @@
 }
 
 // One ask from each takes twice as long as they are expected to take: those turned away leave room.
-TEST(AskPace, AFleetThatAsksForMoreThanDiscoveryHasBacksOffUntilAllAreTold) {
+TEST(WatchScheduler, AFleetThatAsksForMoreThanDiscoveryHasBacksOffUntilAllAreTold) {
   for (const int relays : {100, 300}) {
     const double asks_per_s = relays / 20.0;
     EXPECT_LT(start_at_once(relays, {0, relays}, asks_per_s, 1).by_60_s, relays / 2);
@@ -69,65 +69,71 @@
 }
 
 // No pause is longer than half a second: discovery may be back at any time.
-TEST(AskPace, WhereAskingCostsNothingItIsDoneAtOnceAndAgainSoon) {
-  AskPace pace({0, 100}, 1);
-  EXPECT_EQ(pace.first(true), 0);
+TEST(WatchScheduler, WhereAskingCostsNothingItIsDoneAtOnceAndAgainSoon) {
+  WatchScheduler pace({0, 100}, 1);
+  EXPECT_EQ(pace.initial_delay(true), 0);
   for (const Time expected : {50'000, 100'000, 200'000, 400'000, 500'000, 500'000}) {
-    EXPECT_EQ(pace.again(WatchEnd::kNoWord), expected);
+    EXPECT_EQ(pace.retry_delay(WatchEnd::kNoResponse), expected);
   }
-  pace.heard();
-  EXPECT_EQ(pace.again(WatchEnd::kBroken), 50'000);
+  pace.on_item();
+  EXPECT_EQ(pace.retry_delay(WatchEnd::kBroken), 50'000);
 }
 
-TEST(AskPace, OneRelayAloneHasNobodyToWaitFor) {
-  AskPace pace({kEvery, 1}, 1);
-  EXPECT_EQ(pace.first(true), 0);
-  EXPECT_EQ(pace.again(WatchEnd::kRefused), 50'000);
+TEST(WatchScheduler, OneRelayAloneHasNobodyToWaitFor) {
+  WatchScheduler pace({kEvery, 1}, 1);
+  EXPECT_EQ(pace.initial_delay(true), 0);
+  EXPECT_EQ(pace.retry_delay(WatchEnd::kRefused), 50'000);
 }
 
-TEST(AskPace, ARelayWithoutAListAsksAtOnce) { EXPECT_EQ(AskPace({kEvery, 100}, 1).first(false), 0); }
+TEST(WatchScheduler, ARelayWithoutAListAsksAtOnce) {
+  EXPECT_EQ(WatchScheduler({kEvery, 100}, 1).initial_delay(false), 0);
+}
 
 // The clock of a watch that falls silent, and of asks that nobody answers: whatever falls silent on the way,
 // an ask that is answered within half a second ends less than 6 s after discovery had the change and could be
 // reached.
-TEST(AskPace, SilenceIsNeverWaitedOutForLongerThanAChangeMayTake) {
+TEST(WatchScheduler, SilenceIsNeverWaitedOutForLongerThanAChangeMayTake) {
   constexpr Time kAnswer = kSecond / 2;
   for (const Time every : {Time{0}, kEvery}) {
     for (uint64_t seed = 1; seed <= 200; ++seed) {
-      AskPace pace({every, 100}, seed);
-      pace.heard();
+      WatchScheduler pace({every, 100}, seed);
+      pace.on_item();
       // The watch: its last line, then the silence that shows, then the pause.
-      EXPECT_LT(AskPace::kSilence + pace.again(WatchEnd::kBroken) + kAnswer, AskPace::kToldWithin);
+      EXPECT_LT(WatchScheduler::kSilenceTimeout + pace.retry_delay(WatchEnd::kBroken) + kAnswer,
+                WatchScheduler::kMaxNotificationDelay);
       for (int i = 0; i < 20; ++i) {
         // Discovery is back in the moment after an ask went out that nobody answers.
-        EXPECT_LT(pace.first_word() + pace.again(WatchEnd::kNoWord) + kAnswer, AskPace::kToldWithin);
+        EXPECT_LT(pace.first_item_timeout() + pace.retry_delay(WatchEnd::kNoResponse) + kAnswer,
+                  WatchScheduler::kMaxNotificationDelay);
       }
     }
   }
 }
 
 // Where asks cost nothing, three of them fall into that time though each but the last is met with silence.
-TEST(AskPace, AWatchThatFallsSilentAgainWhileItIsReplacedIsReplacedInTime) {
-  AskPace pace({0, 300}, 1);
-  pace.heard();
-  Time passed = AskPace::kSilence;
+TEST(WatchScheduler, AWatchThatFallsSilentAgainWhileItIsReplacedIsReplacedInTime) {
+  WatchScheduler pace({0, 300}, 1);
+  pace.on_item();
+  Time passed = WatchScheduler::kSilenceTimeout;
   for (int silent = 0; silent < 2; ++silent) {
-    passed += pace.again(silent == 0 ? WatchEnd::kBroken : WatchEnd::kNoWord) + pace.first_word();
+    passed +=
+        pace.retry_delay(silent == 0 ? WatchEnd::kBroken : WatchEnd::kNoResponse) + pace.first_item_timeout();
   }
-  EXPECT_LT(passed + pace.again(WatchEnd::kNoWord) + kSecond / 2, AskPace::kToldWithin);
+  EXPECT_LT(passed + pace.retry_delay(WatchEnd::kNoResponse) + kSecond / 2,
+            WatchScheduler::kMaxNotificationDelay);
 }
 
 // Turned away again and again, asks are spread further and further, and no further than four spans.
-TEST(AskPace, NoPauseIsLongerThanFourSpansAndAWatchThatStoodStartsAnew) {
+TEST(WatchScheduler, NoPauseIsLongerThanFourSpansAndAWatchThatStoodStartsAnew) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
-    AskPace pace({kEvery, 100}, seed);
-    EXPECT_LE(pace.first(true), kEvery);
-    EXPECT_LE(pace.again(WatchEnd::kRefused), 2 * kEvery);
+    WatchScheduler pace({kEvery, 100}, seed);
+    EXPECT_LE(pace.initial_delay(true), kEvery);
+    EXPECT_LE(pace.retry_delay(WatchEnd::kRefused), 2 * kEvery);
     for (int i = 0; i < 20; ++i) {
-      EXPECT_LE(pace.again(WatchEnd::kRefused), 4 * kEvery);
-      pace.heard();  // a line alone does not say that discovery took the ask
+      EXPECT_LE(pace.retry_delay(WatchEnd::kRefused), 4 * kEvery);
+      pace.on_item();  // a line alone does not say that discovery took the ask
     }
-    EXPECT_LE(pace.again(WatchEnd::kBroken), 2 * kSecond);
+    EXPECT_LE(pace.retry_delay(WatchEnd::kBroken), 2 * kSecond);
   }
 }
 
--- a/tests/members/list_words_test.cpp
+++ b/tests/members/list_words_test.cpp
@@ -10,51 +10,51 @@
 namespace umberhoist::members {
 namespace {
 
-using Kind = ListWords::Kind;
+using ItemKind = ListStreamParser::ItemKind;
 
-std::vector<ListWords::Word> words_of(const std::string& bytes, size_t most = 1'000'000) {
-  ListWords words(most);
+std::vector<ListStreamParser::Item> words_of(const std::string& bytes, size_t most = 1'000'000) {
+  ListStreamParser words(most);
   words.feed(bytes);
-  std::vector<ListWords::Word> out;
-  for (ListWords::Word word = words.next(); word.kind != Kind::kNone; word = words.next()) {
+  std::vector<ListStreamParser::Item> out;
+  for (ListStreamParser::Item word = words.next(); word.kind != ItemKind::kIncomplete; word = words.next()) {
     out.push_back(word);
-    if (word.kind == Kind::kSpoilt) break;
+    if (word.kind == ItemKind::kMalformed) break;
   }
   return out;
 }
 
-TEST(ListWords, AListOnOneLineAndEmptyLines) {
+TEST(ListStreamParser, AListOnOneLineAndEmptyLines) {
   const auto words = words_of("\n{\"a\":[1,{}]}\n\r\n  {\"b\":\"}\\\"{\"}");
   std::vector<std::string> lists;
   size_t alive = 0;
   for (const auto& word : words) {
-    if (word.kind == Kind::kList) lists.push_back(word.text.substr(word.text.find('{')));
-    alive += word.kind == Kind::kAlive;
+    if (word.kind == ItemKind::kList) lists.push_back(word.text.substr(word.text.find('{')));
+    alive += word.kind == ItemKind::kKeepAlive;
   }
   EXPECT_EQ(lists, (std::vector<std::string>{"{\"a\":[1,{}]}", "{\"b\":\"}\\\"{\"}"}));
   EXPECT_EQ(alive, 3u);
 }
 
-TEST(ListWords, AListThatBreaksOffDoesNotSwallowWhatFollows) {
+TEST(ListStreamParser, AListThatBreaksOffDoesNotSwallowWhatFollows) {
   for (const std::string torn : {"{\"revision\":4", "{\"revision\":", "{\"members\":[{", "{\"id\":\"s-"}) {
     const auto words = words_of(torn + "\n\n{}\n");
     ASSERT_FALSE(words.empty()) << torn;
-    EXPECT_EQ(words.back().kind, Kind::kSpoilt) << torn;
+    EXPECT_EQ(words.back().kind, ItemKind::kMalformed) << torn;
   }
 }
 
-TEST(ListWords, WhatCanBeNoListIsToldAtOnce) {
+TEST(ListStreamParser, WhatCanBeNoListIsToldAtOnce) {
   for (const std::string bytes : {"x", "[1]", "\"text\"", "null", "}", "\x16\x03"}) {
     const auto words = words_of(bytes);
     ASSERT_EQ(words.size(), 1u) << bytes;
-    EXPECT_EQ(words.front().kind, Kind::kSpoilt) << bytes;
+    EXPECT_EQ(words.front().kind, ItemKind::kMalformed) << bytes;
   }
 }
 
-TEST(ListWords, AListIsBounded) {
+TEST(ListStreamParser, AListIsBounded) {
   const std::string endless = "{\"a\":\"" + std::string(2000, 'x');
-  EXPECT_EQ(words_of(endless, 1000).back().kind, Kind::kSpoilt);
-  EXPECT_EQ(words_of("{" + std::string(2000, ' '), 1000).back().kind, Kind::kSpoilt);
+  EXPECT_EQ(words_of(endless, 1000).back().kind, ItemKind::kMalformed);
+  EXPECT_EQ(words_of("{" + std::string(2000, ' '), 1000).back().kind, ItemKind::kMalformed);
   EXPECT_TRUE(words_of("{\"a\":\"" + std::string(500, 'x'), 1000).empty());
 }
 
@@ -87,7 +87,7 @@
 }
 
 // The oracle is the list of objects that were written, each indented as it may be, with empty lines between.
-TEST(ListWords, RandomListsInRandomPiecesAreTheListsThatWereWritten) {
+TEST(ListStreamParser, RandomListsInRandomPiecesAreTheListsThatWereWritten) {
   for (uint64_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<nlohmann::json> written;
@@ -97,15 +97,16 @@
       bytes += written.back().dump(static_cast<int>(random() % 6) - 1) + (random() % 3 == 0 ? "\r\n" : "\n");
       for (size_t empty = random() % 3; empty > 0; --empty) bytes += "\n";
     }
-    ListWords words(1'000'000);
+    ListStreamParser words(1'000'000);
     std::vector<nlohmann::json> read;
     for (size_t from = 0; from < bytes.size();) {
       const size_t count = 1 + random() % 40;
       words.feed(bytes.substr(from, count));
       from += count;
-      for (ListWords::Word word = words.next(); word.kind != Kind::kNone; word = words.next()) {
-        ASSERT_NE(word.kind, Kind::kSpoilt) << bytes;
-        if (word.kind == Kind::kList) read.push_back(nlohmann::json::parse(word.text));
+      for (ListStreamParser::Item word = words.next(); word.kind != ItemKind::kIncomplete;
+           word = words.next()) {
+        ASSERT_NE(word.kind, ItemKind::kMalformed) << bytes;
+        if (word.kind == ItemKind::kList) read.push_back(nlohmann::json::parse(word.text));
       }
     }
     EXPECT_EQ(read, written) << "seed " << seed;
@@ -113,7 +114,7 @@
 }
 
 // Noise never stops it from ending: each call takes bytes or says that there is nothing.
-TEST(ListWords, NoiseIsEitherWordsOrSpoilt) {
+TEST(ListStreamParser, NoiseIsEitherWordsOrSpoilt) {
   for (uint64_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937_64 random(seed);
     std::string bytes;
--- a/tests/mutants/kills_test.cpp
+++ b/tests/mutants/kills_test.cpp
@@ -17,23 +17,23 @@
  protected:
   std::string put(const std::string& id, int destination = 7, int life_ms = 60'000) {
     Socket client = program_.client();
-    client.send(put_bytes(id, "c=" + GetParam() + ",d=" + std::to_string(life_ms) +
-                                  ",k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination)));
-    return client.line();
+    client.send(put_command(id, "c=" + GetParam() + ",d=" + std::to_string(life_ms) +
+                                    ",k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination)));
+    return client.read_line();
   }
   void start_until(const std::string& step) { program_.start_planted(UMBERHOIST_PLANTED, step); }
   void start_again() {
     EXPECT_EQ(program_.wait(), -SIGKILL);
-    host_.drop();
+    host_.close();
     program_.start();
   }
   std::string next_call() {
-    const std::string id = host_.next().headers.at("x-call-id");
-    host_.answer("200");
+    const std::string id = host_.next_request().headers.at("x-call-id");
+    host_.respond("200");
     return id;
   }
   void expect_notice(const std::string& id, const std::string& state) {
-    const nlohmann::json notice = discovery_.notice();
+    const nlohmann::json notice = discovery_.next_notice();
     EXPECT_EQ(notice.at("id"), id);
     EXPECT_EQ(notice.at("state"), state);
   }
@@ -49,11 +49,12 @@
     EXPECT_EQ(next_call(), kNext);
   }
 
-  Host host_;
-  Discovery discovery_;
+  FakeHost host_;
+  FakeDiscovery discovery_;
   // Destination 99 has had a host, which wants nothing new.
-  Program program_{config_json(discovery_.address(), {member_json("s-1", host_.address(), 7),
-                                                      member_json("s-0", host_.address(), 99, "leaving")})};
+  RelayProcess program_{config_json(
+      discovery_.address(),
+      {member_json("s-1", host_.address(), 7), member_json("s-0", host_.address(), 99, "leaving")})};
 };
 
 // Its client was told nothing and may hand it in elsewhere; this relay owes it an end all the same.
@@ -76,7 +77,7 @@
 TEST_P(Killed, BetweenACallsLastByteAndItsAnswer) {
   start_until("dies-with-the-last-byte");
   EXPECT_EQ(put(kId), "+OK");
-  EXPECT_EQ(host_.next().headers.at("x-call-id"), kId);
+  EXPECT_EQ(host_.next_request().headers.at("x-call-id"), kId);
   start_again();
   expect_one_end_of_what_may_have_run();
 }
@@ -117,7 +118,7 @@
   EXPECT_EQ(put(last, 99, 300), "+OK");
   std::string id;
   while (id != last) {
-    id = discovery_.notice().at("id");
+    id = discovery_.next_notice().at("id");
     EXPECT_TRUE(id == third || id == last) << id;
   }
 }
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -48,7 +48,7 @@
   const auto parse = [](const std::string& id, const std::string& list) {
     return parse_put({"MSG.PUT", "0", id, list, ""});
   };
-  EXPECT_EQ(parse("a", "c=x,d=8000,dest=7,r=1,again=1").life, 8'000'000);
+  EXPECT_EQ(parse("a", "c=x,d=8000,dest=7,r=1,again=1").lifetime, 8'000'000);
   EXPECT_EQ(parse("a", "c=x,t=acme,d=8000,dest=7").tenant, "acme");
   EXPECT_EQ(parse("a", "c=x,d=8000,dest=7").tenant, "");
   EXPECT_THROW(parse("a", "c=x,t=ac\nme,d=8000,dest=7"), std::invalid_argument);
@@ -71,9 +71,9 @@
   const Endpoint old = first->members->front().endpoint;
   EXPECT_NE(old, next->members->front().endpoint);
   EXPECT_FALSE(directory.apply(list(4, true, {}), 3));
-  EXPECT_TRUE(directory.active(old));
+  EXPECT_TRUE(directory.is_active(old));
   directory.apply(list(7, true, {}), 4);
-  EXPECT_FALSE(directory.active(old));
+  EXPECT_FALSE(directory.is_active(old));
 }
 
 // An agent may be behind what another told: its list moves hosts on, and undoes nothing.
@@ -95,16 +95,16 @@
   directory.apply(list(9, true, {member("s-1", "leaving"), member("s-2", "active"), member("s-3", "active")}),
                   1);
   directory.apply(list(10, false, {member("s-3", "left")}), 2);
-  directory.forget(handle("s-3"));
+  directory.erase(handle("s-3"));
   // s-2 came after this list was made; s-4 and the end of s-5 are news.
   directory.apply(list(4, true, {member("s-1", "active"), member("s-3", "active"), member("s-4", "active")}),
                   3);
-  EXPECT_FALSE(directory.active(handle("s-1")));
-  EXPECT_TRUE(directory.active(handle("s-2")));
+  EXPECT_FALSE(directory.is_active(handle("s-1")));
+  EXPECT_TRUE(directory.is_active(handle("s-2")));
   EXPECT_EQ(handle("s-3"), Endpoint{});
-  EXPECT_TRUE(directory.active(handle("s-4")));
+  EXPECT_TRUE(directory.is_active(handle("s-4")));
   directory.apply(list(5, false, {member("s-4", "leaving")}), 4);
-  EXPECT_FALSE(directory.active(handle("s-4")));
+  EXPECT_FALSE(directory.is_active(handle("s-4")));
   EXPECT_EQ(directory.revision(), 10);
 }
 
@@ -119,12 +119,12 @@
       const auto json = testing::list_json(i, false, {testing::member_json(id, "127.0.0.1:80", 7, phase)});
       directory.apply(parse_list(json, names), now);
     }
-    directory.forget(directory.hosts().begin()->first);
-    directory.prune(now);
+    directory.erase(directory.hosts().begin()->first);
+    directory.prune_removed(now);
   }
   EXPECT_TRUE(directory.hosts().empty());
-  EXPECT_LT(directory.gone().size(), 200u);
-  EXPECT_TRUE(directory.known(7));
+  EXPECT_LT(directory.removed().size(), 200u);
+  EXPECT_TRUE(directory.is_known(7));
 }
 
 }  // namespace
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -80,7 +80,7 @@
   return got > 0;
 }
 
-std::string Socket::line() {
+std::string Socket::read_line() {
   size_t end = 0;
   while ((end = buffer_.find('\n')) == std::string::npos) {
     if (!fill()) return "";
@@ -91,20 +91,20 @@
   return out;
 }
 
-std::string Socket::exactly(size_t count) {
+std::string Socket::read_exactly(size_t count) {
   while (buffer_.size() < count && fill()) continue;
   const std::string out = buffer_.substr(0, count);
   buffer_.erase(0, count);
   return out;
 }
 
-bool Socket::ended() {
+bool Socket::closed_by_peer() {
   if (!buffer_.empty() || fd_ < 0 || !readable(fd_, kDeadlineMs)) return false;
   char byte = 0;
   return ::read(fd_, &byte, 1) <= 0;
 }
 
-bool Socket::drained() {
+bool Socket::drained_until_closed() {
   buffer_.clear();
   while (fd_ >= 0 && readable(fd_, kDeadlineMs)) {
     char bytes[65536];
@@ -117,23 +117,23 @@
 
 std::optional<Request> read_request(Socket& socket) {
   Request out;
-  out.first = socket.line();
-  if (out.first.empty()) return {};
-  for (std::string line = socket.line(); !line.empty(); line = socket.line()) {
+  out.request_line = socket.read_line();
+  if (out.request_line.empty()) return {};
+  for (std::string line = socket.read_line(); !line.empty(); line = socket.read_line()) {
     std::string name = line.substr(0, line.find(": "));
     std::transform(name.begin(), name.end(), name.begin(), [](unsigned char c) { return std::tolower(c); });
     out.headers[name] = line.substr(line.find(": ") + 2);
   }
   const auto length = out.headers.find("content-length");
-  if (length != out.headers.end()) out.body = socket.exactly(std::stoul(length->second));
+  if (length != out.headers.end()) out.body = socket.read_exactly(std::stoul(length->second));
   return out;
 }
 
-Request Host::next() {
+Request FakeHost::next_request() {
   while (true) {
     pollfd waiting[2] = {{listener_.fd(), POLLIN, 0}, {connection_.fd(), POLLIN, 0}};
     if (::poll(waiting, 2, kDeadlineMs) <= 0) throw std::runtime_error("no call came");
-    if (connection_.open() && waiting[1].revents != 0) {
+    if (connection_.is_open() && waiting[1].revents != 0) {
       if (auto request = read_request(connection_)) return *request;
       connection_.close();
     } else if (waiting[0].revents != 0) {
@@ -143,26 +143,26 @@
   }
 }
 
-void Host::narrow() {
+void FakeHost::limit_receive_buffer() {
   const int bytes = 4096;
   ASSERT_EQ(::setsockopt(listener_.fd(), SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes), 0);
 }
 
-void Host::head() {
+void FakeHost::read_head() {
   connection_ = listener_.accept();
   ++connections_;
-  while (!connection_.line().empty()) continue;
+  while (!connection_.read_line().empty()) continue;
 }
 
-bool Host::waiting() const {
-  return readable(listener_.fd(), 0) || (connection_.open() && readable(connection_.fd(), 0));
+bool FakeHost::has_pending_input() const {
+  return readable(listener_.fd(), 0) || (connection_.is_open() && readable(connection_.fd(), 0));
 }
 
-void Host::answer(const std::string& status, const std::string& headers) {
+void FakeHost::respond(const std::string& status, const std::string& headers) {
   ASSERT_TRUE(connection_.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: 2\r\n\r\nhi"));
 }
 
-Discovery::Discovery() {
+FakeDiscovery::FakeDiscovery() {
   acceptor_ = std::thread([this] {
     while (!over_) {
       if (!readable(listener_.fd(), 50)) continue;
@@ -172,13 +172,13 @@
   });
 }
 
-Discovery::~Discovery() {
+FakeDiscovery::~FakeDiscovery() {
   over_ = true;
   acceptor_.join();
   for (std::thread& thread : threads_) thread.join();
 }
 
-void Discovery::serve(Socket connection) {
+void FakeDiscovery::serve(Socket connection) {
   const auto chunk = [&](const std::string& text) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -188,7 +188,7 @@
     if (!readable(connection.fd(), 50)) continue;
     const auto request = read_request(connection);
     if (!request) return;
-    if (request->first.starts_with("GET")) {
+    if (request->request_line.starts_with("GET")) {
       if (mute_) continue;
       connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       size_t sent = 0;
@@ -216,12 +216,12 @@
   }
 }
 
-void Discovery::tell(const nlohmann::json& list) {
+void FakeDiscovery::publish(const nlohmann::json& list) {
   const std::lock_guard lock(mutex_);
   told_.push_back(list.dump());
 }
 
-nlohmann::json Discovery::notice() {
+nlohmann::json FakeDiscovery::next_notice() {
   std::unique_lock lock(mutex_);
   const auto there = [this] { return !notices_.empty(); };
   if (!changed_.wait_for(lock, std::chrono::milliseconds(kDeadlineMs), there)) return nullptr;
@@ -272,28 +272,28 @@
           {"settings", settings}};
 }
 
-Program::Program(nlohmann::json config) {
+RelayProcess::RelayProcess(nlohmann::json config) {
   std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-test-XXXXXX";
   folder_ = ::mkdtemp(pattern.data());
-  std::filesystem::create_directory(state());
-  configure(config.dump());
+  std::filesystem::create_directory(state_folder());
+  write_config(config.dump());
 }
 
-Program::~Program() {
+RelayProcess::~RelayProcess() {
   kill();
   std::filesystem::remove_all(folder_);
 }
 
-void Program::configure(const std::string& text) {
+void RelayProcess::write_config(const std::string& text) {
   std::ofstream(folder_ / "config.new") << text;
   std::filesystem::rename(folder_ / "config.new", folder_ / "config.json");
 }
 
-void Program::launch(int descriptors) {
+void RelayProcess::launch(int descriptors) {
   int pipe[2];
   ASSERT_EQ(::pipe2(pipe, O_CLOEXEC), 0);
   const std::string config = folder_ / "config.json";
-  const std::string folder = state();
+  const std::string folder = state_folder();
   child_ = ::fork();
   if (child_ == 0) {
     ::dup2(pipe[1], 2);
@@ -311,16 +311,16 @@
   log_ = Socket(pipe[0]);
 }
 
-std::string Program::refusal(int descriptors) {
+std::string RelayProcess::startup_error(int descriptors) {
   launch(descriptors);
-  std::string line = log_.line();
+  std::string line = log_.read_line();
   ::waitpid(std::exchange(child_, -1), nullptr, 0);
   return line;
 }
 
-void Program::start(int descriptors) {
+void RelayProcess::start(int descriptors) {
   launch(descriptors);
-  const std::string line = log_.line();
+  const std::string line = log_.read_line();
   ASSERT_TRUE(line.starts_with("listening on ")) << line;
   port_ = static_cast<uint16_t>(std::stoi(line.substr(line.rfind(':') + 1)));
   drain_ = std::thread([this] {  // so that a full pipe never stops the program
@@ -331,7 +331,7 @@
   });
 }
 
-void Program::start_planted(const std::string& program, const std::string& fault) {
+void RelayProcess::start_planted(const std::string& program, const std::string& fault) {
   const std::string healthy = std::exchange(program_, program);
   fault_ = fault;
   start();
@@ -339,16 +339,16 @@
   fault_.clear();
 }
 
-int64_t Program::processor_time() const {
+int64_t RelayProcess::cpu_time_us() const {
   clockid_t clock = 0;
   timespec used{};
   if (::clock_getcpuclockid(child_, &clock) != 0 || ::clock_gettime(clock, &used) != 0) return -1;
   return int64_t{1'000'000} * used.tv_sec + used.tv_nsec / 1000;
 }
 
-void Program::signal(int number) { ::kill(child_, number); }
+void RelayProcess::signal(int number) { ::kill(child_, number); }
 
-int Program::wait() {
+int RelayProcess::wait() {
   int status = 0;
   ::waitpid(child_, &status, 0);
   child_ = -1;
@@ -356,13 +356,13 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-void Program::kill() {
+void RelayProcess::kill() {
   if (child_ <= 0) return;
   signal(SIGKILL);
   wait();
 }
 
-std::string put_bytes(const std::string& id, const std::string& facts, const std::string& body) {
+std::string put_command(const std::string& id, const std::string& facts, const std::string& body) {
   std::string out = "*5\r\n";
   for (const std::string& word : {std::string("MSG.PUT"), std::string("0000000000000000"), id, facts, body}) {
     out += "$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -34,18 +34,18 @@
   static Socket connect(uint16_t port);
   Socket accept() const;
 
-  bool open() const { return fd_ >= 0; }
+  bool is_open() const { return fd_ >= 0; }
   int fd() const { return fd_; }
   uint16_t port() const;
   void close();
   void reset();  // the peer sees a reset, not an end
 
   bool send(const std::string& bytes) const;
-  std::string line();                 // without its end; empty at the end of the stream
-  std::string exactly(size_t count);  // shorter at the end of the stream
-  bool ended();                       // waits for the peer's close; false if bytes come, or nothing does
-  bool drained();                     // the same, and throws away what comes before it
-  void half_close() const;            // nothing more is sent, and what comes is still read
+  std::string read_line();                 // without its end; empty at the end of the stream
+  std::string read_exactly(size_t count);  // shorter at the end of the stream
+  bool closed_by_peer();                   // waits for the peer's close; false if bytes come, or nothing does
+  bool drained_until_closed();             // the same, and throws away what comes before it
+  void half_close() const;                 // nothing more is sent, and what comes is still read
 
  private:
   bool fill();
@@ -55,7 +55,7 @@
 };
 
 struct Request {
-  std::string first;
+  std::string request_line;
   std::map<std::string, std::string> headers;  // names in lower case
   std::string body;
 };
@@ -63,22 +63,27 @@
 std::optional<Request> read_request(Socket& socket);
 
 // Serves one connection at a time, in the test's own thread.
-class Host {
+class FakeHost {
  public:
   uint16_t port() const { return listener_.port(); }
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
-  Request next();  // the next call, on the connection that is open or on a new one
-  void narrow();   // connections to come take a few kilobytes at a time: a large call is not written at once
-  void head();     // reads the next call's head on a new connection, and nothing that is not needed for it
-  void answer(const std::string& status, const std::string& headers = "");
-  void raw(const std::string& bytes) { ASSERT_TRUE(connection_.send(bytes)); }
-  bool left() { return connection_.ended(); }    // waits until the caller has closed, with nothing more sent
-  bool gone() { return connection_.drained(); }  // the same, whatever it had sent
+  Request next_request();       // the next call, on the connection that is open or on a new one
+  void limit_receive_buffer();  // connections to come take a few kilobytes at a time: a large call is not
+                                // written at once
+  void read_head();  // reads the next call's head on a new connection, and nothing that is not needed for it
+  void respond(const std::string& status, const std::string& headers = "");
+  void send_raw(const std::string& bytes) { ASSERT_TRUE(connection_.send(bytes)); }
+  bool closed_by_peer() {
+    return connection_.closed_by_peer();
+  }  // waits until the caller has closed, with nothing more sent
+  bool drained_until_closed() {
+    return connection_.drained_until_closed();
+  }  // the same, whatever it had sent
   void half_close() { connection_.half_close(); }
-  void drop() { connection_.close(); }
+  void close() { connection_.close(); }
   void reset() { connection_.reset(); }
   int connections() const { return connections_; }
-  bool waiting() const;  // another connection waits to be accepted, or bytes to be read
+  bool has_pending_input() const;  // another connection waits to be accepted, or bytes to be read
 
  private:
   Socket listener_ = Socket::listen();
@@ -86,17 +91,17 @@
   int connections_ = 0;
 };
 
-class Discovery {
+class FakeDiscovery {
  public:
-  Discovery();
-  ~Discovery();
+  FakeDiscovery();
+  ~FakeDiscovery();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
-  void tell(const nlohmann::json& list);       // to the watches that are open and those to come
-  nlohmann::json notice();                     // the next one that was answered 204
-  void refuse(int count) { refuse_ = count; }  // so many posts are answered 503 first
+  void publish(const nlohmann::json& list);            // to the watches that are open and those to come
+  nlohmann::json next_notice();                        // the next one that was answered 204
+  void refuse_notices(int count) { refuse_ = count; }  // so many posts are answered 503 first
   // Watches that come while it is mute never get an answer, as while discovery is down.
-  void mute(bool on = true) { mute_ = on; }
-  int refused() const { return refused_; }
+  void set_silent(bool on = true) { mute_ = on; }
+  int refused_notices() const { return refused_; }
 
  private:
   void serve(Socket connection);
@@ -121,22 +126,22 @@
 // Class names: safe, keyed, unsafe.
 nlohmann::json config_json(const std::string& discovery, std::vector<nlohmann::json> known);
 
-class Program {
+class RelayProcess {
  public:
-  explicit Program(nlohmann::json config);
-  ~Program();
+  explicit RelayProcess(nlohmann::json config);
+  ~RelayProcess();
 
   void start(int descriptors = 0);
   // The same with a program that a test built for it, which plays the fault of that name.
   void start_planted(const std::string& program, const std::string& fault);
-  std::string refusal(int descriptors);     // the line with which it refuses to start
-  void configure(const std::string& text);  // replaces the file; it is read at a start or on SIGHUP
+  std::string startup_error(int descriptors);  // the line with which it refuses to start
+  void write_config(const std::string& text);  // replaces the file; it is read at a start or on SIGHUP
   void signal(int number);
   int wait();  // exit status; minus the signal that ended it
   void kill();
   pid_t pid() const { return child_; }
-  int64_t processor_time() const;  // used by it so far, in microseconds
-  std::filesystem::path state() const { return folder_ / "state"; }
+  int64_t cpu_time_us() const;  // used by it so far, in microseconds
+  std::filesystem::path state_folder() const { return folder_ / "state"; }
   Socket client() const { return Socket::connect(port_); }
 
  private:
@@ -151,6 +156,6 @@
   std::thread drain_;
 };
 
-std::string put_bytes(const std::string& id, const std::string& facts, const std::string& body = "body");
+std::string put_command(const std::string& id, const std::string& facts, const std::string& body = "body");
 
 }  // namespace firspool::testing
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -19,23 +19,23 @@
 }
 
 struct Stage {
-  Host host;
-  Discovery discovery;
+  FakeHost host;
+  FakeDiscovery discovery;
   // Destinations 8 and 99 have had a host, which wants nothing new.
   nlohmann::json config =
       config_json(discovery.address(),
                   {member_json("s-1", host.address(), 7), member_json("s-0", host.address(), 99, "leaving"),
                    member_json("s-9", host.address(), 8, "leaving")});
-  Program program{config};
+  RelayProcess program{config};
 
   std::string put(const std::string& id, const std::string& what, const std::string& body = "body") {
     Socket client = program.client();
-    client.send(put_bytes(id, what, body));
-    return client.line();
+    client.send(put_command(id, what, body));
+    return client.read_line();
   }
   void restart_killed() {
     program.kill();
-    host.drop();
+    host.close();
     program.start();
   }
 };
@@ -48,34 +48,34 @@
   std::string body = "any bytes: ";
   body += std::string("\0\r\n\xff", 4);
   EXPECT_EQ(s.put("9b1f03aa5c7e2d41", kFacts, body), "+OK");
-  const Request call = s.host.next();
-  EXPECT_EQ(call.first, "POST /events HTTP/1.1");
+  const Request call = s.host.next_request();
+  EXPECT_EQ(call.request_line, "POST /events HTTP/1.1");
   EXPECT_EQ(id_of(call), "9b1f03aa5c7e2d41");
   EXPECT_EQ(call.headers.at("idempotency-key"), "5c0f6e1a2b3d4c59");
   EXPECT_EQ(call.headers.at("x-budget").back(), 'm');
   EXPECT_EQ(call.body, body);
-  s.host.answer("200");
+  s.host.respond("200");
   // The second answer comes after the first message's end was recorded: its call uses the same connection.
   EXPECT_EQ(s.put("00000000000000b2", kFacts), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000b2");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000b2");
   EXPECT_EQ(s.host.connections(), 1);
   s.restart_killed();
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000b2");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000b2");
 }
 
 TEST(Program, AnswersPipelinedRequestsInOrderAndPiecesToo) {
   Stage s;
   s.program.start();
   Socket client = s.program.client();
-  const std::string bytes = "*1\r\n$4\r\nPING\r\n" + put_bytes("a1", facts("keyed", 99)) +
-                            "*1\r\n$3\r\nFOO\r\n" + put_bytes("a2", "c=nosuch,d=1,dest=7") +
+  const std::string bytes = "*1\r\n$4\r\nPING\r\n" + put_command("a1", facts("keyed", 99)) +
+                            "*1\r\n$3\r\nFOO\r\n" + put_command("a2", "c=nosuch,d=1,dest=7") +
                             "*1\r\n$4\r\nping\r\n";
   for (const char byte : bytes) ASSERT_TRUE(client.send(std::string(1, byte)));
-  EXPECT_EQ(client.line(), "+PONG");
-  EXPECT_EQ(client.line(), "+OK");
-  EXPECT_TRUE(client.line().starts_with("-ERR"));
-  EXPECT_TRUE(client.line().starts_with("-ERR"));
-  EXPECT_EQ(client.line(), "+PONG");
+  EXPECT_EQ(client.read_line(), "+PONG");
+  EXPECT_EQ(client.read_line(), "+OK");
+  EXPECT_TRUE(client.read_line().starts_with("-ERR"));
+  EXPECT_TRUE(client.read_line().starts_with("-ERR"));
+  EXPECT_EQ(client.read_line(), "+PONG");
 }
 
 TEST(Program, AnswersMalformedBytesAndCloses) {
@@ -85,41 +85,41 @@
        {"GET / HTTP/1.1\r\n", "*1\r\n$99999999\r\n", "*-1\r\n", "*1\r\n$1\r\nab\r\n"}) {
     Socket client = s.program.client();
     client.send(bytes);
-    EXPECT_TRUE(client.line().starts_with("-ERR")) << bytes;
-    EXPECT_EQ(client.exactly(1), "") << bytes;
+    EXPECT_TRUE(client.read_line().starts_with("-ERR")) << bytes;
+    EXPECT_EQ(client.read_exactly(1), "") << bytes;
   }
   Socket client = s.program.client();
   client.send("*1\r\n$4\r\nPING\r\n");
-  EXPECT_EQ(client.line(), "+PONG");
+  EXPECT_EQ(client.read_line(), "+PONG");
 }
 
 TEST(Program, TurnsAwayWhatIsOverItsRoom) {
   Stage s;
   s.config["settings"]["bounds"]["open_cap"] = 4;
-  Program small(s.config);
+  RelayProcess small(s.config);
   small.start();
   Socket client = small.client();
   for (int i = 0; i < 4; ++i) {  // all out at once: none can be given back
-    client.send(put_bytes("m" + std::to_string(i), kFacts));
-    EXPECT_EQ(client.line(), "+OK");
+    client.send(put_command("m" + std::to_string(i), kFacts));
+    EXPECT_EQ(client.read_line(), "+OK");
   }
-  client.send(put_bytes("m4", kFacts));
-  EXPECT_TRUE(client.line().starts_with("-BUSY "));
+  client.send(put_command("m4", kFacts));
+  EXPECT_TRUE(client.read_line().starts_with("-BUSY "));
 }
 
 TEST(Program, AClientThatComesAgainTooOftenIsToldWhenEachTime) {
   Stage s;
   s.config["settings"]["bounds"]["open_cap"] = 4;
-  Program small(s.config);
+  RelayProcess small(s.config);
   small.start();
   Socket client = small.client();
   for (int i = 0; i < 4; ++i) {
-    client.send(put_bytes("m" + std::to_string(i), kFacts));
-    EXPECT_EQ(client.line(), "+OK");
+    client.send(put_command("m" + std::to_string(i), kFacts));
+    EXPECT_EQ(client.read_line(), "+OK");
   }
   for (int i = 0; i < 200; ++i) {  // a new id each time, on the connection that it keeps
-    client.send(put_bytes("again" + std::to_string(i), kFacts));
-    const std::string answer = client.line();
+    client.send(put_command("again" + std::to_string(i), kFacts));
+    const std::string answer = client.read_line();
     ASSERT_TRUE(answer.starts_with("-BUSY ")) << answer;
     EXPECT_GT(std::stoi(answer.substr(6)), 0);
   }
@@ -131,13 +131,13 @@
     Stage s;
     s.program.start();
     EXPECT_EQ(s.put("00000000000000a1", facts(effect)), "+OK");
-    s.host.next();
+    s.host.next_request();
     s.restart_killed();
-    const Request again = s.host.next();
+    const Request again = s.host.next_request();
     EXPECT_EQ(id_of(again), "00000000000000a1") << effect;
     EXPECT_EQ(again.headers.at("idempotency-key"), "5c0f6e1a2b3d4c59");
     EXPECT_EQ(again.body, "body");
-    s.host.answer("200");
+    s.host.respond("200");
   }
 }
 
@@ -145,11 +145,11 @@
   Stage s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
-  s.host.next();
+  s.host.next_request();
   s.restart_killed();
-  EXPECT_EQ(s.discovery.notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
+  EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
   EXPECT_EQ(s.put("00000000000000a2", facts("unsafe")), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
 }
 
 // Refused at once it never ran, and the record of that outlasts the process.
@@ -157,16 +157,16 @@
   Stage s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
-  s.host.next();
-  s.host.answer("429", "Retry-After: 30.0\r\n");
+  s.host.next_request();
+  s.host.respond("429", "Retry-After: 30.0\r\n");
   // That the answer was read shows in what follows it: a message elsewhere goes out on a later turn.
-  Host other;
-  s.discovery.tell(list_json(2, false, {member_json("s-2", other.address(), 8)}));
+  FakeHost other;
+  s.discovery.publish(list_json(2, false, {member_json("s-2", other.address(), 8)}));
   EXPECT_EQ(s.put("00000000000000a2", facts("safe", 8)), "+OK");
-  other.next();
-  other.answer("200");
+  other.next_request();
+  other.respond("200");
   s.restart_killed();
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1");
 }
 
 std::filesystem::path newest_segment(const std::filesystem::path& state) {
@@ -187,7 +187,7 @@
     if (i > 0) wanted.insert(id);
   }
   s.program.kill();
-  const auto file = newest_segment(s.program.state());
+  const auto file = newest_segment(s.program.state_folder());
   std::string bytes;
   {
     std::ifstream in(file, std::ios::binary);
@@ -195,13 +195,13 @@
   }
   bytes[bytes.find("00000000000000a0")] ^= 1;
   std::ofstream(file, std::ios::binary) << bytes;
-  s.discovery.tell(list_json(2, false, {member_json("s-2", s.host.address(), 99)}));
+  s.discovery.publish(list_json(2, false, {member_json("s-2", s.host.address(), 99)}));
   s.program.start();
   std::set<std::string> ids;
   for (int i = 0; i < 9; ++i) {
-    ids.insert(id_of(s.host.next()));
-    s.host.answer("200");
-    s.host.drop();
+    ids.insert(id_of(s.host.next_request()));
+    s.host.respond("200");
+    s.host.close();
   }
   EXPECT_EQ(ids, wanted);
 }
@@ -211,18 +211,18 @@
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 99)), "+OK");
   s.program.kill();
-  std::ofstream(newest_segment(s.program.state()), std::ios::app | std::ios::binary)
+  std::ofstream(newest_segment(s.program.state_folder()), std::ios::app | std::ios::binary)
       << std::string("\xd5\x4a\x41\0\x40\0\0\0torn", 12);
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a2", facts("keyed", 99)), "+OK");
   s.program.kill();
-  s.discovery.tell(list_json(2, false, {member_json("s-2", s.host.address(), 99)}));
+  s.discovery.publish(list_json(2, false, {member_json("s-2", s.host.address(), 99)}));
   s.program.start();
   std::set<std::string> ids;
   for (int i = 0; i < 2; ++i) {
-    ids.insert(id_of(s.host.next()));
-    s.host.answer("200");
-    s.host.drop();
+    ids.insert(id_of(s.host.next_request()));
+    s.host.respond("200");
+    s.host.close();
   }
   EXPECT_EQ(ids, (std::set<std::string>{"00000000000000a1", "00000000000000a2"}));
 }
@@ -230,39 +230,39 @@
 TEST(Program, TurnsAwayWhatItsFolderHasNoRoomFor) {
   Stage s;
   s.config["limits"]["disk_mb"] = 0.02;
-  Program small(s.config);
+  RelayProcess small(s.config);
   small.start();
   Socket client = small.client();
-  client.send(put_bytes("00000000000000a1", kFacts, std::string(8000, 'x')));
-  EXPECT_TRUE(client.line().starts_with("-BUSY "));
-  client.send(put_bytes("00000000000000a2", kFacts, std::string(1000, 'x')));
-  EXPECT_EQ(client.line(), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
+  client.send(put_command("00000000000000a1", kFacts, std::string(8000, 'x')));
+  EXPECT_TRUE(client.read_line().starts_with("-BUSY "));
+  client.send(put_command("00000000000000a2", kFacts, std::string(1000, 'x')));
+  EXPECT_EQ(client.read_line(), "+OK");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
 }
 
 TEST(Program, SendsANoticeAgainUntilItIsTaken) {
   Stage s;
-  s.discovery.refuse(2);
+  s.discovery.refuse_notices(2);
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
-  s.host.next();
+  s.host.next_request();
   s.host.reset();
-  EXPECT_EQ(s.discovery.notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
-  EXPECT_EQ(s.discovery.refused(), 2);
+  EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
+  EXPECT_EQ(s.discovery.refused_notices(), 2);
 }
 
 TEST(Program, OwesANoticeAfterARestart) {
   Stage s;
-  s.discovery.refuse(1'000'000);
+  s.discovery.refuse_notices(1'000'000);
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
-  s.host.next();
+  s.host.next_request();
   s.host.reset();
-  while (s.discovery.refused() == 0) std::this_thread::yield();
+  while (s.discovery.refused_notices() == 0) std::this_thread::yield();
   s.program.kill();
-  s.discovery.refuse(0);
+  s.discovery.refuse_notices(0);
   s.program.start();
-  EXPECT_EQ(s.discovery.notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
+  EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
 }
 
 TEST(Program, EndsAMessageWhoseTimePassedWhileItWasDown) {
@@ -271,7 +271,7 @@
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 99, 300)), "+OK");
   s.program.kill();
   s.program.start();
-  const nlohmann::json notice = s.discovery.notice();
+  const nlohmann::json notice = s.discovery.next_notice();
   EXPECT_EQ(notice.at("id"), "00000000000000a1");
   EXPECT_EQ(notice.at("state"), "returned");
   EXPECT_GT(notice.at("after_ms"), 0);  // the client is told when to come again
@@ -279,55 +279,55 @@
 
 TEST(Program, FollowsTheWatch) {
   Stage s;
-  Host replacement;
+  FakeHost replacement;
   s.program.start();
-  s.discovery.tell(list_json(
+  s.discovery.publish(list_json(
       2, false,
       {member_json("s-1", s.host.address(), 7, "leaving"), member_json("s-2", replacement.address(), 8)}));
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 8)), "+OK");
-  EXPECT_EQ(id_of(replacement.next()), "00000000000000a1");
-  replacement.answer("200");
-  s.discovery.tell(list_json(3, false, {member_json("s-3", replacement.address(), 7)}));
+  EXPECT_EQ(id_of(replacement.next_request()), "00000000000000a1");
+  replacement.respond("200");
+  s.discovery.publish(list_json(3, false, {member_json("s-3", replacement.address(), 7)}));
   EXPECT_EQ(s.put("00000000000000a2", facts("keyed", 7)), "+OK");
-  EXPECT_EQ(id_of(replacement.next()), "00000000000000a2");  // and not to the one that leaves
+  EXPECT_EQ(id_of(replacement.next_request()), "00000000000000a2");  // and not to the one that leaves
 }
 
 // It serves on the list that it has, and hears of changes once its turn to ask has come.
 TEST(Program, AsksInItsTurnWhereAsksCostDiscoveryWork) {
   Stage s;
-  Host replacement;
+  FakeHost replacement;
   s.config["settings"]["discovery"] = "ask";
   s.config["settings"]["siblings"] = 100;
   s.config["settings"]["obligations"]["ask_every_s"] = 0.5;
-  s.program.configure(s.config.dump());
-  s.discovery.tell(list_json(2, false, {member_json("s-2", replacement.address(), 8)}));
+  s.program.write_config(s.config.dump());
+  s.discovery.publish(list_json(2, false, {member_json("s-2", replacement.address(), 8)}));
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 7)), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1");
   EXPECT_EQ(s.put("00000000000000a2", facts("keyed", 8)), "+OK");
-  EXPECT_EQ(id_of(replacement.next()), "00000000000000a2");
+  EXPECT_EQ(id_of(replacement.next_request()), "00000000000000a2");
 }
 
 // The configuration's list may be older than what the process before was told, and discovery down.
 TEST(Program, RemembersTheListAcrossARestart) {
   Stage s;
-  Host other;
+  FakeHost other;
   s.program.start();
-  s.discovery.tell(
+  s.discovery.publish(
       list_json(2, false,
                 {member_json("s-1", s.host.address(), 7, "leaving"), member_json("s-2", other.address(), 7),
                  member_json("s-3", other.address(), 8)}));
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 8)), "+OK");  // that it was heard
-  EXPECT_EQ(id_of(other.next()), "00000000000000a1");
+  EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");
   s.program.kill();
-  s.discovery.mute();
+  s.discovery.set_silent();
   s.program.start();
-  EXPECT_EQ(id_of(other.next()), "00000000000000a1");
-  other.answer("200");
+  EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");
+  other.respond("200");
   for (const std::string id : {"00000000000000a2", "00000000000000a3", "00000000000000a4"}) {
     EXPECT_EQ(s.put(id, facts("keyed", 7)), "+OK");
-    EXPECT_EQ(id_of(other.next()), id);
-    other.answer("200");
+    EXPECT_EQ(id_of(other.next_request()), id);
+    other.respond("200");
   }
 }
 
@@ -335,21 +335,21 @@
   Stage s;
   s.program.start();
   Socket client = s.program.client();
-  client.send(put_bytes("00000000000000a1", facts("unsafe")));
-  EXPECT_EQ(client.line(), "+OK");
-  client.send(put_bytes("00000000000000a2", facts("keyed", 99)));
-  EXPECT_EQ(client.line(), "+OK");
-  s.host.next();
+  client.send(put_command("00000000000000a1", facts("unsafe")));
+  EXPECT_EQ(client.read_line(), "+OK");
+  client.send(put_command("00000000000000a2", facts("keyed", 99)));
+  EXPECT_EQ(client.read_line(), "+OK");
+  s.host.next_request();
   s.program.signal(SIGTERM);
   client.send("*1\r\n$4\r\nPING\r\n");
-  EXPECT_EQ(client.line(), "+PONG");
-  EXPECT_EQ(client.exactly(1), "");  // closed between requests
-  s.host.answer("200");
+  EXPECT_EQ(client.read_line(), "+PONG");
+  EXPECT_EQ(client.read_exactly(1), "");  // closed between requests
+  s.host.respond("200");
   EXPECT_EQ(s.program.wait(), 0);
-  s.discovery.tell(list_json(2, false, {member_json("s-2", s.host.address(), 99)}));
-  s.host.drop();
+  s.discovery.publish(list_json(2, false, {member_json("s-2", s.host.address(), 99)}));
+  s.host.close();
   s.program.start();
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
 }
 
 // The pace that refusals taught is in the folder: what was held for it does not go at once after a restart,
@@ -359,20 +359,20 @@
   constexpr double kLimit = 4;  // calls a second, all of them this relay's
   Stage s;
   s.config["known"]["members"][0]["size"] = kLimit;
-  s.program.configure(s.config.dump());
+  s.program.write_config(s.config.dump());
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a0", facts("keyed")), "+OK");
   for (int refused = 0; refused < 3; ++refused) {
-    s.host.next();
-    s.host.answer("503");
+    s.host.next_request();
+    s.host.respond("503");
   }
   for (int i = 1; i <= 6; ++i) EXPECT_EQ(s.put("00000000000000a" + std::to_string(i), facts("keyed")), "+OK");
   const Time from = relay::steady_now();
   s.restart_killed();
   constexpr int kCalls = 5;
   for (int call = 0; call < kCalls; ++call) {
-    EXPECT_TRUE(id_of(s.host.next()).starts_with("00000000000000a"));
-    s.host.answer("200");
+    EXPECT_TRUE(id_of(s.host.next_request()).starts_with("00000000000000a"));
+    s.host.respond("200");
   }
   // It starts with half a token at most, and the pace never rises above the limit.
   EXPECT_GE(static_cast<double>(relay::steady_now() - from), (kCalls - 0.5) / kLimit * 1e6);
@@ -382,17 +382,18 @@
 TEST(Program, SendsNothingIntoAWaitThatIsLongerThanMessagesLive) {
   Stage s;
   for (auto& category : s.config["settings"]["categories"]) category["give_up_s"] = 0.3;
-  s.program.configure(s.config.dump());
+  s.program.write_config(s.config.dump());
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a0", facts("safe", 7, 300)), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a0");
-  s.host.answer("429", "Retry-After: 2.0\r\n");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a0");
+  s.host.respond("429", "Retry-After: 2.0\r\n");
   const Time from = relay::steady_now();
   for (int i = 1; relay::steady_now() - from < 1'200'000; ++i) {
     const std::string id = "00000000000000b" + std::to_string(i);
     ASSERT_EQ(s.put(id, facts("safe", 7, 300)), "+OK");
-    while (s.discovery.notice().at("id") != id) continue;  // given back untried, when its time is up
-    ASSERT_FALSE(s.host.waiting()) << "a call " << relay::steady_now() - from << " us into a wait of 2 s";
+    while (s.discovery.next_notice().at("id") != id) continue;  // given back untried, when its time is up
+    ASSERT_FALSE(s.host.has_pending_input())
+        << "a call " << relay::steady_now() - from << " us into a wait of 2 s";
   }
 }
 
@@ -403,14 +404,14 @@
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 99)), "+OK");
   EXPECT_EQ(s.put("00000000000000a2", facts("keyed")), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
   s.program.kill();
   s.config["settings"]["categories"].erase(1);
-  s.program.configure(s.config.dump());
+  s.program.write_config(s.config.dump());
   s.program.start();
   std::map<std::string, std::string> ends;
   for (int i = 0; i < 2; ++i) {
-    const nlohmann::json notice = s.discovery.notice();
+    const nlohmann::json notice = s.discovery.next_notice();
     ends[notice.at("id")] = notice.at("state");
   }
   EXPECT_EQ(ends, (std::map<std::string, std::string>{{"00000000000000a1", "returned"},
@@ -423,7 +424,7 @@
   const auto files = umberhoist::state::real_files(state);
   umberhoist::state::Journal journal(*files,
                                      {3'000'000, "n0", 6, 0, umberhoist::state::Durability::kProcess});
-  relay::Handed message;
+  relay::Submission message;
   message.id = id;
   message.message_class = "keyed";
   message.key = "5c0f6e1a2b3d4c59";
@@ -442,12 +443,12 @@
   constexpr int kHeld = 400;
   Stage s;
   s.config["settings"]["bounds"]["open_cap"] = kHeld;
-  s.program.configure(s.config.dump());
+  s.program.write_config(s.config.dump());
   {
-    const auto files = umberhoist::state::real_files(s.program.state());
+    const auto files = umberhoist::state::real_files(s.program.state_folder());
     umberhoist::state::Journal journal(*files,
                                        {3'000'000, "n0", 6, 0, umberhoist::state::Durability::kProcess});
-    relay::Handed message;
+    relay::Submission message;
     message.message_class = "keyed";
     message.key = "5c0f6e1a2b3d4c59";
     message.destination = 7;
@@ -466,32 +467,33 @@
     }
   }
   size_t bytes = 0;
-  for (const auto& entry : std::filesystem::directory_iterator(s.program.state())) bytes += entry.file_size();
+  for (const auto& entry : std::filesystem::directory_iterator(s.program.state_folder()))
+    bytes += entry.file_size();
   ASSERT_GE(bytes, 1'500'000u);
-  s.discovery.mute();
+  s.discovery.set_silent();
   const Time from = relay::steady_now();
   s.program.start();
   EXPECT_LT(relay::steady_now() - from, 10'000'000);
-  const int64_t used = s.program.processor_time();
+  const int64_t used = s.program.cpu_time_us();
   EXPECT_GT(used, 0) << "not measured";
   EXPECT_LT(used, 1'000'000);
-  EXPECT_TRUE(id_of(s.host.next()).starts_with("held-"));
+  EXPECT_TRUE(id_of(s.host.next_request()).starts_with("held-"));
 }
 
 // The window runs from the first attempt that may have run, also where a later one is young.
 TEST(Program, RepeatsAfterARestartWhatIsWithinItsWindowAndNothingElse) {
   Stage s;
   for (auto& category : s.config["settings"]["categories"]) category["key_ttl_s"] = 5.0;
-  s.program.configure(s.config.dump());
-  keep(s.program.state(), "00000000000000b1", 20'000'000, {-200'000});
-  keep(s.program.state(), "00000000000000b2", 20'000'000, {-5'200'000});
-  keep(s.program.state(), "00000000000000b3", 20'000'000, {-5'200'000, -100'000});
+  s.program.write_config(s.config.dump());
+  keep(s.program.state_folder(), "00000000000000b1", 20'000'000, {-200'000});
+  keep(s.program.state_folder(), "00000000000000b2", 20'000'000, {-5'200'000});
+  keep(s.program.state_folder(), "00000000000000b3", 20'000'000, {-5'200'000, -100'000});
   s.program.start();
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000b1");
-  s.host.answer("200");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000b1");
+  s.host.respond("200");
   std::set<std::string> failed;
   for (int i = 0; i < 2; ++i) {
-    const nlohmann::json notice = s.discovery.notice();
+    const nlohmann::json notice = s.discovery.next_notice();
     EXPECT_EQ(notice.at("state"), "failed");
     failed.insert(notice.at("id"));
   }
@@ -504,86 +506,87 @@
   Stage s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", kFacts), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1");
   s.program.kill();
-  s.host.drop();
-  keep(s.program.state(), "00000000000000a2", 3600'000'000, {3590'000'000});
+  s.host.close();
+  keep(s.program.state_folder(), "00000000000000a2", 3600'000'000, {3590'000'000});
   s.program.start();
-  EXPECT_EQ(s.discovery.notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a1") << "whose attempt is within its window";
+  EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1") << "whose attempt is within its window";
 }
 
 // ---- A new configuration ----
 
 TEST(Program, FollowsDiscoveryToItsNewAddress) {
   Stage s;
-  Discovery next;
-  Host other;
+  FakeDiscovery next;
+  FakeHost other;
   s.program.start();
   s.config["discovery"] = next.address();
-  s.program.configure(s.config.dump());
+  s.program.write_config(s.config.dump());
   s.program.signal(SIGHUP);
   // Whatever revision the new agent has.
-  next.tell(list_json(0, false, {member_json("s-2", other.address(), 99)}));
+  next.publish(list_json(0, false, {member_json("s-2", other.address(), 99)}));
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed", 99)), "+OK");
-  EXPECT_EQ(id_of(other.next()), "00000000000000a1");
+  EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");
   EXPECT_EQ(s.put("00000000000000a2", facts("unsafe")), "+OK");
-  s.host.next();
+  s.host.next_request();
   s.host.reset();
-  EXPECT_EQ(next.notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
+  EXPECT_EQ(next.next_notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
 }
 
 // One relay's part of a rolling restart: discovery moves, its host is replaced, it is killed with a call out,
 // and the next time told to end with one.
 TEST(Program, ARollingRestartWithDiscoveryMovedAndAHostReplacedLosesNothing) {
   Stage s;
-  Discovery next;
-  Host other;
+  FakeDiscovery next;
+  FakeHost other;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("keyed")), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1");
   s.config["discovery"] = next.address();
-  s.program.configure(s.config.dump());
+  s.program.write_config(s.config.dump());
   s.program.signal(SIGHUP);
-  next.tell(list_json(2, false,
-                      {member_json("s-1", s.host.address(), 7, "leaving"),
-                       member_json("s-2", other.address(), 7), member_json("s-3", other.address(), 99)}));
+  next.publish(list_json(2, false,
+                         {member_json("s-1", s.host.address(), 7, "leaving"),
+                          member_json("s-2", other.address(), 7), member_json("s-3", other.address(), 99)}));
   EXPECT_EQ(s.put("00000000000000a2", facts("unsafe", 99)), "+OK");
-  EXPECT_EQ(id_of(other.next()), "00000000000000a2");  // the new one was heard
+  EXPECT_EQ(id_of(other.next_request()), "00000000000000a2");  // the new one was heard
   other.reset();
-  EXPECT_EQ(next.notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
+  EXPECT_EQ(next.next_notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
   s.program.kill();
   s.program.start();
-  EXPECT_EQ(id_of(other.next()), "00000000000000a1");  // not to the one that leaves
-  other.answer("200");
+  EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");  // not to the one that leaves
+  other.respond("200");
   EXPECT_EQ(s.put("00000000000000a3", facts("unsafe")), "+OK");
-  EXPECT_EQ(id_of(other.next()), "00000000000000a3");
+  EXPECT_EQ(id_of(other.next_request()), "00000000000000a3");
   s.program.signal(SIGTERM);
   EXPECT_EQ(s.put("00000000000000a4", facts("keyed", 8)),
             "+OK");  // it serves on, for a host that wants nothing
-  other.answer("200");
+  other.respond("200");
   EXPECT_EQ(s.program.wait(), 0);
-  other.drop();
+  other.close();
   s.program.start();
-  next.tell(list_json(3, false, {member_json("s-4", other.address(), 8)}));
-  EXPECT_EQ(id_of(other.next()), "00000000000000a4");  // and a3, which was delivered, is not sent again
-  other.answer("200");
+  next.publish(list_json(3, false, {member_json("s-4", other.address(), 8)}));
+  EXPECT_EQ(id_of(other.next_request()),
+            "00000000000000a4");  // and a3, which was delivered, is not sent again
+  other.respond("200");
 }
 
 // A notice that the old address did not answer goes to the new one.
 TEST(Program, SendsUnansweredNoticesToTheNewAddress) {
   Stage s;
-  Discovery next;
-  s.discovery.refuse(1'000'000);
+  FakeDiscovery next;
+  s.discovery.refuse_notices(1'000'000);
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", facts("unsafe")), "+OK");
-  s.host.next();
+  s.host.next_request();
   s.host.reset();
-  while (s.discovery.refused() == 0) std::this_thread::yield();
+  while (s.discovery.refused_notices() == 0) std::this_thread::yield();
   s.config["discovery"] = next.address();
-  s.program.configure(s.config.dump());
+  s.program.write_config(s.config.dump());
   for (int i = 0; i < 3; ++i) s.program.signal(SIGHUP);
-  EXPECT_EQ(next.notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
+  EXPECT_EQ(next.next_notice(), nlohmann::json({{"id", "00000000000000a1"}, {"state", "failed"}}));
 }
 
 TEST(Program, KeepsTheOldConfigurationWhereTheNewOneIsNotValid) {
@@ -592,12 +595,12 @@
   s.config["discovery"] = "nowhere";
   const std::string unreadable = s.config.dump();
   for (const std::string& text : {std::string("{"), std::string(), unreadable}) {
-    s.program.configure(text);
+    s.program.write_config(text);
     s.program.signal(SIGHUP);
     EXPECT_EQ(s.put("00000000000000a1", facts("safe")), "+OK");
-    EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
-    s.host.answer("200");
-    s.host.drop();
+    EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1");
+    s.host.respond("200");
+    s.host.close();
   }
   s.program.signal(SIGTERM);
   s.program.signal(SIGHUP);
@@ -612,7 +615,7 @@
   Stage s;
   s.program.start();
   Socket client = s.program.client();
-  EXPECT_TRUE(client.ended());
+  EXPECT_TRUE(client.closed_by_peer());
 }
 
 // Bytes that dribble in do not put the limit off.
@@ -623,15 +626,15 @@
   half.send("*5\r\n$7\r\nMSG.P");
   Socket dribbling = s.program.client();
   dribbling.send(kPing);
-  EXPECT_EQ(dribbling.line(), "+PONG");
+  EXPECT_EQ(dribbling.read_line(), "+PONG");
   dribbling.send("*1\r\n$60000\r\n");
   std::atomic<bool> over = false;
   std::thread dribble([&] {
     while (!over && dribbling.send("x")) std::this_thread::sleep_for(std::chrono::milliseconds(20));
   });
-  EXPECT_TRUE(half.line().starts_with("-ERR"));
-  EXPECT_TRUE(half.ended());
-  EXPECT_TRUE(dribbling.line().starts_with("-ERR"));
+  EXPECT_TRUE(half.read_line().starts_with("-ERR"));
+  EXPECT_TRUE(half.closed_by_peer());
+  EXPECT_TRUE(dribbling.read_line().starts_with("-ERR"));
   over = true;
   dribble.join();
 }
@@ -644,21 +647,21 @@
   ASSERT_TRUE(client.send("*5\r\n$7\r\nMSG.PUT\r\n$60000000\r\n"));
   const std::string part(1'000'000, 'x');
   for (int i = 0; i < 60; ++i) ASSERT_TRUE(client.send(part)) << i;
-  EXPECT_TRUE(client.line().starts_with("-ERR"));
-  EXPECT_TRUE(client.ended());
+  EXPECT_TRUE(client.read_line().starts_with("-ERR"));
+  EXPECT_TRUE(client.closed_by_peer());
 }
 
 // Clients keep their connections: those that ask no more must not shut out others.
 TEST(Program, MakesRoomForAnotherClient) {
   Stage s;
   s.config["limits"]["sockets"] = 64;
-  Program small(s.config);
+  RelayProcess small(s.config);
   small.start();
   std::vector<Socket> kept;
   for (int i = 0; i < 60; ++i) {
     kept.push_back(small.client());
     kept.back().send(kPing);
-    ASSERT_EQ(kept.back().line(), "+PONG") << i;
+    ASSERT_EQ(kept.back().read_line(), "+PONG") << i;
   }
 }
 
@@ -668,18 +671,18 @@
 TEST(Program, ACrowdThatAsksOnceAndKeepsItsConnectionsIsLetGo) {
   Stage s;
   s.config["limits"]["sockets"] = 384;  // clients hold 128 at most for requests
-  Program small(s.config);
+  RelayProcess small(s.config);
   small.start();
   Socket reused = small.client();
   std::vector<Socket> kept;
   for (int i = 0; i < 128; ++i) {
     kept.push_back(small.client());
     kept.back().send(kPing);
-    ASSERT_EQ(kept.back().line(), "+PONG") << i;
+    ASSERT_EQ(kept.back().read_line(), "+PONG") << i;
     reused.send(kPing);
-    ASSERT_EQ(reused.line(), "+PONG") << i;
+    ASSERT_EQ(reused.read_line(), "+PONG") << i;
   }
-  EXPECT_TRUE(kept.front().ended());
+  EXPECT_TRUE(kept.front().closed_by_peer());
 }
 
 TEST(Program, TurnsAwayWhatNoHostCouldTake) {
@@ -688,9 +691,9 @@
   Socket client = s.program.client();
   for (const std::string what : {"c=safe,d=1000,dest=5", "c=keyed,d=1000,dest=7", "c=safe,d=61000,dest=7",
                                  "c=nosuch,d=1000,dest=7", "c=safe,d=1\r\n+OK,dest=7", "c=safe,d=,dest=7"}) {
-    client.send(put_bytes("00000000000000a1", what) + kPing);
-    EXPECT_TRUE(client.line().starts_with("-ERR")) << what;
-    EXPECT_EQ(client.line(), "+PONG") << what;  // nothing that the client sent made a line of its own
+    client.send(put_command("00000000000000a1", what) + kPing);
+    EXPECT_TRUE(client.read_line().starts_with("-ERR")) << what;
+    EXPECT_EQ(client.read_line(), "+PONG") << what;  // nothing that the client sent made a line of its own
   }
 }
 
@@ -703,25 +706,25 @@
   s.config["settings"]["over_share_worth"] = 0.2;
   s.config["settings"]["bounds"]["open_cap"] = 10;
   s.config["settings"]["family_info"]["calls_out"] = 1;
-  Program small(s.config);
+  RelayProcess small(s.config);
   small.start();
   Socket client = small.client();
   for (const std::string what : {"t=nosuch,", ""}) {
-    client.send(put_bytes("00000000000000f1", what + kFacts));
-    EXPECT_EQ(client.line(), "-ERR unknown tenant") << what;
+    client.send(put_command("00000000000000f1", what + kFacts));
+    EXPECT_EQ(client.read_line(), "-ERR unknown tenant") << what;
   }
   // One of them is out, and over 9 are one too many.
   for (int i = 0; i < 5; ++i) {
-    client.send(put_bytes("steady" + std::to_string(i), std::string("t=steady,") + kFacts));
-    EXPECT_EQ(client.line(), "+OK");
+    client.send(put_command("steady" + std::to_string(i), std::string("t=steady,") + kFacts));
+    EXPECT_EQ(client.read_line(), "+OK");
   }
   for (int i = 0; i < 4; ++i) {
-    client.send(put_bytes("flood" + std::to_string(i), std::string("t=flood,") + kFacts));
-    EXPECT_EQ(client.line(), "+OK");
+    client.send(put_command("flood" + std::to_string(i), std::string("t=flood,") + kFacts));
+    EXPECT_EQ(client.read_line(), "+OK");
   }
-  client.send(put_bytes("steady5", std::string("t=steady,") + kFacts));
-  EXPECT_EQ(client.line(), "+OK");
-  const nlohmann::json notice = s.discovery.notice();
+  client.send(put_command("steady5", std::string("t=steady,") + kFacts));
+  EXPECT_EQ(client.read_line(), "+OK");
+  const nlohmann::json notice = s.discovery.next_notice();
   EXPECT_TRUE(notice.at("id").get<std::string>().starts_with("flood")) << notice;
   EXPECT_EQ(notice.at("state"), "returned");
 }
@@ -732,7 +735,7 @@
   Stage s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", kFacts), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1");
   rlimit before{};
   ASSERT_EQ(::prlimit(s.program.pid(), RLIMIT_FSIZE, nullptr, &before), 0);
   rlimit none = before;
@@ -743,25 +746,25 @@
     ASSERT_TRUE(line.starts_with("-BUSY ")) << line;
     EXPECT_GE(std::stoi(line.substr(6)), 100) << "it says when to come again";
   }
-  s.host.answer("200");  // its end cannot be recorded yet
+  s.host.respond("200");  // its end cannot be recorded yet
   ASSERT_EQ(::prlimit(s.program.pid(), RLIMIT_FSIZE, &before, nullptr), 0);
   EXPECT_EQ(s.put("00000000000000c1", kFacts), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000c1");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000c1");
   s.restart_killed();
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000c1") << "the first one's end was recorded after all";
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000c1") << "the first one's end was recorded after all";
 }
 
 // Handed in twice before it is decided on: both get the one answer.
 TEST(Program, AnswersARepeatedIdAsTheFirst) {
   Stage s;
   s.config["limits"]["disk_mb"] = 0.02;
-  Program small(s.config);
+  RelayProcess small(s.config);
   small.start();
   Socket clients[2] = {small.client(), small.client()};
   small.signal(SIGSTOP);
-  for (Socket& client : clients) client.send(put_bytes("00000000000000a1", kFacts, std::string(8000, 'x')));
+  for (Socket& client : clients) client.send(put_command("00000000000000a1", kFacts, std::string(8000, 'x')));
   small.signal(SIGCONT);
-  for (Socket& client : clients) EXPECT_TRUE(client.line().starts_with("-BUSY"));
+  for (Socket& client : clients) EXPECT_TRUE(client.read_line().starts_with("-BUSY"));
 }
 
 // A message's time runs from its last byte, also while it waits to be read: a notice for it would come late.
@@ -770,12 +773,12 @@
   s.program.start();
   Socket client = s.program.client();
   client.send(kPing);
-  EXPECT_EQ(client.line(), "+PONG");
+  EXPECT_EQ(client.read_line(), "+PONG");
   s.program.signal(SIGSTOP);
-  client.send(put_bytes("00000000000000a1", facts("keyed", 99, 200)));
+  client.send(put_command("00000000000000a1", facts("keyed", 99, 200)));
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   s.program.signal(SIGCONT);
-  EXPECT_TRUE(client.line().starts_with("-BUSY"));
+  EXPECT_TRUE(client.read_line().starts_with("-BUSY"));
 }
 
 TEST(Program, RudeClientsAndSpoiltAnswersCostNobodyElseAnAnswer) {
@@ -784,25 +787,25 @@
   std::vector<Socket> open;
   for (int i = 0; i < 10; ++i) {
     Socket quitter = s.program.client();
-    quitter.send(put_bytes("00000000000000c" + std::to_string(i), facts("keyed", 99)));
+    quitter.send(put_command("00000000000000c" + std::to_string(i), facts("keyed", 99)));
     quitter.close();
     Socket half = s.program.client();
     half.send("*5\r\n$7\r\nMSG.");
     open.push_back(std::move(half));
     Socket rubbish = s.program.client();
     rubbish.send("\x16\x03\x01\r\n");
-    EXPECT_TRUE(rubbish.line().starts_with("-ERR"));
+    EXPECT_TRUE(rubbish.read_line().starts_with("-ERR"));
     EXPECT_EQ(s.put("0000000000000a1" + std::to_string(i), facts(i % 2 == 0 ? "keyed" : "unsafe")), "+OK");
-    const std::string id = id_of(s.host.next());
+    const std::string id = id_of(s.host.next_request());
     EXPECT_EQ(id, "0000000000000a1" + std::to_string(i));
-    s.host.raw("HTTP/1.1 5");
-    s.host.drop();
+    s.host.send_raw("HTTP/1.1 5");
+    s.host.close();
     if (i % 2 != 0) {  // it may have run
-      EXPECT_EQ(s.discovery.notice(), nlohmann::json({{"id", id}, {"state", "failed"}}));
+      EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", id}, {"state", "failed"}}));
       continue;
     }
-    EXPECT_EQ(id_of(s.host.next()), id);
-    s.host.answer("200");
+    EXPECT_EQ(id_of(s.host.next_request()), id);
+    s.host.respond("200");
   }
 }
 
@@ -814,12 +817,12 @@
   s.program.signal(SIGSTOP);
   {
     Socket client = s.program.client();
-    client.send(put_bytes("00000000000000a1", facts("unsafe")));
+    client.send(put_command("00000000000000a1", facts("unsafe")));
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
   s.program.signal(SIGCONT);
   EXPECT_EQ(s.put("00000000000000a2", facts("unsafe")), "+OK");
-  EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
 }
 
 // Idle clients fill all that they may hold while discovery is down, at the configured limit and at the
@@ -828,10 +831,10 @@
 TEST(Program, IdleClientsThatFillTheDescriptorsHoldUpNothingElse) {
   for (const int own : {0, 48}) {
     Stage s;
-    Host other;
+    FakeHost other;
     s.config["limits"]["sockets"] = own == 0 ? 64 : 1024;
-    Program small(s.config);
-    s.discovery.mute();
+    RelayProcess small(s.config);
+    s.discovery.set_silent();
     small.start(own);
     std::vector<Socket> idle;
     for (int i = 0; i < 100; ++i) {
@@ -839,26 +842,27 @@
       if (i % 2 == 0) idle.back().send("*1\r\n$4\r\nPING\r\n");
     }
     Socket client = small.client();
-    client.send(put_bytes("00000000000000a1", facts("keyed")));
-    EXPECT_EQ(client.line(), "+OK");
-    EXPECT_EQ(id_of(s.host.next()), "00000000000000a1");
-    s.host.answer("200");
-    client.send(put_bytes("00000000000000a2", facts("unsafe")));
-    EXPECT_EQ(client.line(), "+OK");
-    EXPECT_EQ(id_of(s.host.next()), "00000000000000a2");
+    client.send(put_command("00000000000000a1", facts("keyed")));
+    EXPECT_EQ(client.read_line(), "+OK");
+    EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1");
+    s.host.respond("200");
+    client.send(put_command("00000000000000a2", facts("unsafe")));
+    EXPECT_EQ(client.read_line(), "+OK");
+    EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
     s.host.reset();
-    EXPECT_EQ(s.discovery.notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
-    client.send(put_bytes("00000000000000a3", facts("keyed", 8)));
-    EXPECT_EQ(client.line(), "+OK");
-    s.discovery.tell(list_json(2, false, {member_json("s-2", other.address(), 8)}));
-    s.discovery.mute(false);
-    EXPECT_EQ(id_of(other.next()), "00000000000000a3");
+    EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
+    client.send(put_command("00000000000000a3", facts("keyed", 8)));
+    EXPECT_EQ(client.read_line(), "+OK");
+    s.discovery.publish(list_json(2, false, {member_json("s-2", other.address(), 8)}));
+    s.discovery.set_silent(false);
+    EXPECT_EQ(id_of(other.next_request()), "00000000000000a3");
   }
 }
 
 TEST(Program, RefusesToStartWithTooFewDescriptors) {
   Stage s;
-  EXPECT_EQ(s.program.refusal(20), "umberhoist: the process may hold 20 descriptors; expected 32 or more");
+  EXPECT_EQ(s.program.startup_error(20),
+            "umberhoist: the process may hold 20 descriptors; expected 32 or more");
 }
 
 // Out of descriptors an accept fails again at once: the relay waits a little and serves on.
@@ -868,11 +872,11 @@
   std::vector<Socket> crowd;
   for (int i = 0; i < 60; ++i) crowd.push_back(s.program.client());
   crowd.front().send("*1\r\n$4\r\nPING\r\n");
-  EXPECT_EQ(crowd.front().line(), "+PONG");
+  EXPECT_EQ(crowd.front().read_line(), "+PONG");
   crowd.clear();
   Socket client = s.program.client();
   client.send("*1\r\n$4\r\nPING\r\n");
-  EXPECT_EQ(client.line(), "+PONG");
+  EXPECT_EQ(client.read_line(), "+PONG");
 }
 
 }  // namespace
--- a/tests/state/journal_test.cpp
+++ b/tests/state/journal_test.cpp
@@ -15,8 +15,8 @@
 
 constexpr const char* kOwner = "n0";
 
-Handed message(const std::string& id, size_t body = 10) {
-  Handed out;
+Submission message(const std::string& id, size_t body = 10) {
+  Submission out;
   out.id = id;
   out.message_class = "keyed";
   out.key = "key-" + id;
@@ -57,7 +57,7 @@
   Model out;
   journal.recover([&](Recovered r) {
     Known known{r.due, r.message.body, r.message.tenant, r.unsettled, r.attempts, {}};
-    if (r.owed) known.owed = {r.owed->returned, r.owed->after};
+    if (r.owed) known.owed = {r.owed->returned, r.owed->retry_after};
     out.messages.emplace_back(r.message.id, std::move(known));
   });
   out.facts = journal.remembered();
@@ -75,7 +75,7 @@
       known.attempts = std::max(known.attempts, t.number + 1);
       if (!t.never_ran) known.unsettled[t.number] = {t.sent, t.zone};
     }
-    if (a.owed) known.owed = {a.owed->returned, a.owed->after};
+    if (a.owed) known.owed = {a.owed->returned, a.owed->retry_after};
     out.messages.emplace_back(a.message.id, std::move(known));
   }
   out.facts = seen.facts;
@@ -123,7 +123,7 @@
       // Now and then an id that was over comes again.
       const std::string fresh =
           below(5) == 0 ? "m" + std::to_string(below(1 + made)) : "m" + std::to_string(made++);
-      const Handed handed = message(fresh, below(8) == 0 ? below(3000) : below(200));
+      const Submission handed = message(fresh, below(8) == 0 ? below(3000) : below(200));
       const bool there = model.find(fresh) != nullptr;
       if (journal->accepted(handed, 1000 + i)) {
         EXPECT_FALSE(there);
@@ -304,7 +304,7 @@
   forged.message = message("forged");
   {
     Journal journal(files, options(100'000));
-    Handed evil = message("evil");
+    Submission evil = message("evil");
     evil.body = frame(0, Kind::kAccepted, encode(forged)) + frame(1, Kind::kDone, encode_done(1));
     ASSERT_TRUE(journal.accepted(message("first"), 1));
     ASSERT_TRUE(journal.accepted(evil, 1));
@@ -767,7 +767,7 @@
   Journal journal(files, options(kDisk));
   size_t bytes = 0;
   for (int i = 0;; ++i) {
-    const Handed m = message("m" + std::to_string(i), 2000);
+    const Submission m = message("m" + std::to_string(i), 2000);
     if (!journal.accepted(m, i)) break;
     bytes += m.body.size();
   }
--- a/tests/state/power_test.cpp
+++ b/tests/state/power_test.cpp
@@ -15,8 +15,8 @@
 
 JournalOptions group(size_t disk, uint64_t seed) { return {disk, "n0", 6, seed, Durability::kGroup}; }
 
-Handed message(const std::string& id, size_t body) {
-  Handed out;
+Submission message(const std::string& id, size_t body) {
+  Submission out;
   out.id = id;
   out.message_class = "keyed";
   out.destination = 7;
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -12,13 +12,13 @@
 namespace firspool::relay {
 namespace {
 
-using testing::Host;
+using testing::FakeHost;
 using testing::kDeadlineMs;
 
 class UpstreamTest : public ::testing::Test {
  protected:
   // Makes one call and runs the loop to its end; the host's part runs beside it.
-  AttemptEnded call(const std::function<void(Host&)>& part, Time timeout = 20'000'000) {
+  AttemptEnded call(const std::function<void(FakeHost&)>& part, Time timeout = 20'000'000) {
     std::thread host([&] { part(host_); });
     AttemptEnded out = call_to(host_.port(), timeout);
     host.join();
@@ -46,19 +46,20 @@
     return ended_.value_or(AttemptEnded{});
   }
 
-  static std::function<void(Host&)> answering(const std::string& status, const std::string& headers = "") {
-    return [=](Host& host) {
-      host.next();
-      host.answer(status, headers);
+  static std::function<void(FakeHost&)> answering(const std::string& status,
+                                                  const std::string& headers = "") {
+    return [=](FakeHost& host) {
+      host.next_request();
+      host.respond(status, headers);
     };
   }
 
   // The call of a relay whose loop stands still for a while: what happens meanwhile is found in one turn.
-  AttemptEnded call_in_a_late_turn(const std::function<void(Host&)>& part, Time connect_timeout) {
+  AttemptEnded call_in_a_late_turn(const std::function<void(FakeHost&)>& part, Time connect_timeout) {
     boost::asio::io_context io;
     std::optional<AttemptEnded> end;
     Upstream late(
-        io, {connect_timeout, 10'000'000, 16}, {}, [](const Call&) { return Upstream::Start::kYes; },
+        io, {connect_timeout, 10'000'000, 16}, {}, [](const Call&) { return Upstream::StartDecision::kYes; },
         [](const Endpoint&) { return true; }, [&](const AttemptEnded& out, bool) { end = out; },
         [](const ProbeEnded&) {});
     late.call(next_call(host_.port()));  // the kernel connects at once
@@ -78,13 +79,13 @@
   std::optional<AttemptEnded> ended_;
   std::optional<ProbeEnded> probed_;
   uint64_t last_ = 0;
-  Host host_;
+  FakeHost host_;
   Upstream upstream_{io_,
                      {1'000'000, 10'000'000, 16},
                      {"x0", "x1"},
                      [this](const Call&) {
                        at_start_();
-                       return may_start_ ? Upstream::Start::kYes : Upstream::Start::kNo;
+                       return may_start_ ? Upstream::StartDecision::kYes : Upstream::StartDecision::kNo;
                      },
                      [this](const Endpoint&) { return may_start_; },
                      [this](const AttemptEnded& end, bool began) {
@@ -97,10 +98,10 @@
 // A full table of connections: turned away and hung up on, on a new connection. On one that was in use it is
 // the host that leaves, and where the connection stays it is over a limit.
 TEST_F(UpstreamTest, TellsAFullTableFromALimit) {
-  const auto hang_up = [](Host& host) {
-    host.next();
-    host.answer("503", "Connection: close\r\n");
-    host.drop();
+  const auto hang_up = [](FakeHost& host) {
+    host.next_request();
+    host.respond("503", "Connection: close\r\n");
+    host.close();
   };
   const AttemptEnded crowded = call(hang_up);
   EXPECT_EQ(crowded.outcome, Outcome::kFull);
@@ -129,15 +130,15 @@
 }
 
 TEST_F(UpstreamTest, ABrokenConnectionAfterTheLastByteIsAReset) {
-  EXPECT_EQ(call([](Host& host) {
-              host.next();
+  EXPECT_EQ(call([](FakeHost& host) {
+              host.next_request();
               host.reset();
             }).outcome,
             Outcome::kReset);
 }
 
 TEST_F(UpstreamTest, SilenceTimesOutAndEndsTheConnection) {
-  EXPECT_EQ(call([](Host& host) { host.next(); }, 200'000).outcome, Outcome::kTimeout);
+  EXPECT_EQ(call([](FakeHost& host) { host.next_request(); }, 200'000).outcome, Outcome::kTimeout);
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
@@ -155,8 +156,8 @@
 TEST_F(UpstreamTest, AConnectionThatComesUpInTheTurnInWhichItsTimeEndsIsUsed) {
   EXPECT_EQ(call_in_a_late_turn(answering("200"), 20'000).outcome, Outcome::kOk);
   EXPECT_EQ(call_in_a_late_turn(
-                [](Host& host) {
-                  host.next();
+                [](FakeHost& host) {
+                  host.next_request();
                   host.reset();
                 },
                 20'000)
@@ -167,19 +168,19 @@
 // Given up between the write of its last byte and the word that it was written: it may have run.
 TEST_F(UpstreamTest, ACallThatIsCancelledAsItIsWrittenMayHaveRun) {
   at_start_ = [this] { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); };
-  const AttemptEnded end = call([](Host& host) {
-    host.next();  // all of it came
-    EXPECT_TRUE(host.left());
+  const AttemptEnded end = call([](FakeHost& host) {
+    host.next_request();  // all of it came
+    EXPECT_TRUE(host.closed_by_peer());
   });
   EXPECT_EQ(end.outcome, Outcome::kCancelled);
 }
 
 TEST_F(UpstreamTest, ACallThatIsCancelledWhileItsAnswerIsHalfReadMayHaveRun) {
-  const AttemptEnded end = call([this](Host& host) {
-    host.next();
-    host.raw("HTTP/1.1 503 x\r\nConte");
+  const AttemptEnded end = call([this](FakeHost& host) {
+    host.next_request();
+    host.send_raw("HTTP/1.1 503 x\r\nConte");
     boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); });
-    EXPECT_TRUE(host.left());
+    EXPECT_TRUE(host.closed_by_peer());
   });
   EXPECT_TRUE(end.outcome == Outcome::kSpoilt || end.outcome == Outcome::kCancelled);
 }
@@ -189,8 +190,8 @@
   std::promise<void> later;
   boost::asio::steady_timer timer(io_, std::chrono::seconds(2));
   timer.async_wait([&](const boost::system::error_code&) { later.set_value(); });
-  const AttemptEnded end = call([&](Host& host) {
-    host.next();
+  const AttemptEnded end = call([&](FakeHost& host) {
+    host.next_request();
     later.get_future().wait();
     host.reset();
   });
@@ -203,27 +204,27 @@
 // A host may turn a call away by its head alone. Unread until the last byte were written, a told wait would
 // not be known, and the next call would go right into it.
 TEST_F(UpstreamTest, AnAnswerThatComesBeforeTheRequestIsWhollyWrittenCounts) {
-  host_.narrow();
+  host_.limit_receive_buffer();
   body_.assign(16 * 1024 * 1024, 'x');  // more than the system holds back for a connection
-  const AttemptEnded told = call([](Host& host) {
-    host.head();
-    host.answer("429", "Retry-After: 1.5\r\n");
-    EXPECT_TRUE(host.gone());
+  const AttemptEnded told = call([](FakeHost& host) {
+    host.read_head();
+    host.respond("429", "Retry-After: 1.5\r\n");
+    EXPECT_TRUE(host.drained_until_closed());
   });
   EXPECT_EQ(told.outcome, Outcome::kFull);
   EXPECT_EQ(told.wait, 1'500'000);
   EXPECT_TRUE(began_);
-  const AttemptEnded crowded = call([](Host& host) {
-    host.head();
-    host.answer("503", "Connection: close\r\n");
-    host.drop();  // over what it did not read: a reset follows the answer
+  const AttemptEnded crowded = call([](FakeHost& host) {
+    host.read_head();
+    host.respond("503", "Connection: close\r\n");
+    host.close();  // over what it did not read: a reset follows the answer
   });
   EXPECT_EQ(crowded.outcome, Outcome::kFull);
   EXPECT_TRUE(crowded.crowded);
-  const AttemptEnded delivered = call([](Host& host) {
-    host.head();
-    host.answer("200");
-    EXPECT_TRUE(host.gone());
+  const AttemptEnded delivered = call([](FakeHost& host) {
+    host.read_head();
+    host.respond("200");
+    EXPECT_TRUE(host.drained_until_closed());
   });
   EXPECT_EQ(delivered.outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 3) << "the rest of a request must not stand ahead of the next one";
@@ -231,32 +232,32 @@
 
 // What was not wholly written never ran, however its connection ends.
 TEST_F(UpstreamTest, ACallThatBreaksOffBeforeItsLastByteNeverRan) {
-  host_.narrow();
+  host_.limit_receive_buffer();
   body_.assign(16 * 1024 * 1024, 'x');
-  const auto outcome = [this](const std::function<void(Host&)>& end, Time timeout = 20'000'000) {
+  const auto outcome = [this](const std::function<void(FakeHost&)>& end, Time timeout = 20'000'000) {
     return call(
-               [&](Host& host) {
-                 host.head();
+               [&](FakeHost& host) {
+                 host.read_head();
                  end(host);
                },
                timeout)
         .outcome;
   };
-  EXPECT_EQ(outcome([](Host& host) { host.reset(); }), Outcome::kConnectFailed);
-  EXPECT_EQ(outcome([](Host& host) { host.half_close(); }), Outcome::kConnectFailed);
-  EXPECT_EQ(outcome([this](Host&) { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); }),
+  EXPECT_EQ(outcome([](FakeHost& host) { host.reset(); }), Outcome::kConnectFailed);
+  EXPECT_EQ(outcome([](FakeHost& host) { host.half_close(); }), Outcome::kConnectFailed);
+  EXPECT_EQ(outcome([this](FakeHost&) { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); }),
             Outcome::kConnectFailed);
-  EXPECT_EQ(outcome([](Host&) {}, 200'000), Outcome::kConnectFailed);
+  EXPECT_EQ(outcome([](FakeHost&) {}, 200'000), Outcome::kConnectFailed);
   EXPECT_TRUE(began_);
 }
 
 // Given up when a part of its request is written and that is not reported yet, with a host that reads no
 // more.
 TEST_F(UpstreamTest, ACallThatIsCancelledBetweenTwoPartsOfItsRequestEnds) {
-  host_.narrow();
+  host_.limit_receive_buffer();
   body_.assign(16 * 1024 * 1024, 'x');
   at_start_ = [this] { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); };
-  EXPECT_EQ(call([](Host& host) { host.head(); }).outcome, Outcome::kConnectFailed);
+  EXPECT_EQ(call([](FakeHost& host) { host.read_head(); }).outcome, Outcome::kConnectFailed);
   EXPECT_TRUE(began_);
 }
 
@@ -279,7 +280,7 @@
   boost::asio::io_context io;
   std::optional<AttemptEnded> end;
   Upstream patient(
-      io, {10'000'000, 10'000'000, 16}, {}, [](const Call&) { return Upstream::Start::kYes; },
+      io, {10'000'000, 10'000'000, 16}, {}, [](const Call&) { return Upstream::StartDecision::kYes; },
       [](const Endpoint&) { return true; }, [&](const AttemptEnded& out, bool) { end = out; },
       [](const ProbeEnded&) {});
   patient.call(next_call(queue.listener.port()));
@@ -316,7 +317,7 @@
       io, {1'000'000, 10'000'000, 16}, {},
       [&](const Call&) {
         ++asked;
-        return Upstream::Start::kLater;
+        return Upstream::StartDecision::kLater;
       },
       [](const Endpoint&) { return true; },
       [&](const AttemptEnded& out, bool with_record) {
@@ -330,11 +331,11 @@
   ASSERT_TRUE(end);
   EXPECT_EQ(end->outcome, Outcome::kConnectFailed);
   EXPECT_FALSE(began);
-  syncing.proceed();
+  syncing.retry_deferred();
   io.poll();
   EXPECT_EQ(asked, 1);
   testing::Socket connection = listener.accept();
-  EXPECT_TRUE(connection.ended()) << "something was written";
+  EXPECT_TRUE(connection.closed_by_peer()) << "something was written";
 }
 
 // The host drained, or its destination told another call to wait, while this one's connection came up.
@@ -360,8 +361,8 @@
   may_start_ = true;
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);  // on the same connection, with nothing before it
   std::thread host([this] {
-    EXPECT_EQ(host_.next().first, "GET /-/healthy HTTP/1.1");
-    host_.answer("200");
+    EXPECT_EQ(host_.next_request().request_line, "GET /-/healthy HTTP/1.1");
+    host_.respond("200");
   });
   EXPECT_TRUE(probe());
   host.join();
@@ -370,10 +371,10 @@
 
 // A call on a connection that the host has closed would end as a reset, and may have run.
 TEST_F(UpstreamTest, DoesNotUseAConnectionThatTheHostClosed) {
-  EXPECT_EQ(call([](Host& host) {
-              host.next();
-              host.answer("200");
-              host.drop();
+  EXPECT_EQ(call([](FakeHost& host) {
+              host.next_request();
+              host.respond("200");
+              host.close();
             }).outcome,
             Outcome::kOk);
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
@@ -392,10 +393,10 @@
         std::string("HTTP/1.1 504 x\r\nContent-Length: -4\r\n\r\n"), std::string("HTTP/1.1 410 gone"),
         "HTTP/1.1 500 x\r\nX: " + std::string(30'000, 'x'),
         "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\n" + std::string(1000, 'x')}) {
-    const AttemptEnded end = call([&](Host& host) {
-      host.next();
-      host.raw(bytes);
-      EXPECT_TRUE(host.left());
+    const AttemptEnded end = call([&](FakeHost& host) {
+      host.next_request();
+      host.send_raw(bytes);
+      EXPECT_TRUE(host.closed_by_peer());
     });
     EXPECT_EQ(end.outcome, Outcome::kSpoilt) << bytes.substr(0, 60);
     EXPECT_FALSE(end.final);
@@ -410,10 +411,10 @@
     const std::string whole = "HTTP/1.1 " + status + "\r\nRetry-After: 1.5\r\nContent-Length: 4\r\n\r\nbody";
     const size_t head = whole.find("body");
     for (size_t cut = 0; cut < whole.size(); ++cut) {
-      const AttemptEnded end = call([&](Host& host) {
-        host.next();
-        if (cut > 0) host.raw(whole.substr(0, cut));
-        host.drop();
+      const AttemptEnded end = call([&](FakeHost& host) {
+        host.next_request();
+        if (cut > 0) host.send_raw(whole.substr(0, cut));
+        host.close();
       });
       const bool ran = status.starts_with("200") && cut > std::string("HTTP/1.1 200").size();
       EXPECT_EQ(end.outcome, cut == 0 ? Outcome::kReset : ran ? Outcome::kOk : Outcome::kSpoilt) << cut;
@@ -425,10 +426,10 @@
 }
 
 TEST_F(UpstreamTest, AnAnswerThatComesAByteAtATimeIsRead) {
-  const AttemptEnded end = call([](Host& host) {
-    host.next();
+  const AttemptEnded end = call([](FakeHost& host) {
+    host.next_request();
     for (const char byte : std::string("HTTP/1.1 503 x\r\nContent-Length: 2\r\n\r\nhi")) {
-      host.raw(std::string(1, byte));
+      host.send_raw(std::string(1, byte));
     }
   });
   EXPECT_EQ(end.outcome, Outcome::kFull);
@@ -438,11 +439,11 @@
 // told from it, and the call may have run.
 TEST_F(UpstreamTest, HalfALineAheadOfTheNextAnswerMayHaveRun) {
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
-  const AttemptEnded end = call([](Host& host) {
-    host.next();
-    host.raw("HTTP/1.1 2");
-    host.answer("503");
-    EXPECT_TRUE(host.left());
+  const AttemptEnded end = call([](FakeHost& host) {
+    host.next_request();
+    host.send_raw("HTTP/1.1 2");
+    host.respond("503");
+    EXPECT_TRUE(host.closed_by_peer());
   });
   EXPECT_EQ(end.outcome, Outcome::kSpoilt);
   EXPECT_EQ(host_.connections(), 1);
@@ -454,10 +455,10 @@
         std::string("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"),
         "HTTP/1.1 200 OK\r\nX: " + std::string(30'000, 'x'),
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(1000, 'x')}) {
-    const AttemptEnded end = call([&](Host& host) {
-      host.next();
-      host.raw(bytes);
-      EXPECT_TRUE(host.left());
+    const AttemptEnded end = call([&](FakeHost& host) {
+      host.next_request();
+      host.send_raw(bytes);
+      EXPECT_TRUE(host.closed_by_peer());
     });
     EXPECT_EQ(end.outcome, Outcome::kOk) << bytes.substr(0, 60);
     EXPECT_TRUE(end.final);
@@ -465,10 +466,10 @@
 }
 
 TEST_F(UpstreamTest, SkipsAnswersAheadOfTheAnswer) {
-  const AttemptEnded end = call([](Host& host) {
-    host.next();
-    host.raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX-Y: z\r\n\r\n");
-    host.answer("503");
+  const AttemptEnded end = call([](FakeHost& host) {
+    host.next_request();
+    host.send_raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX-Y: z\r\n\r\n");
+    host.respond("503");
   });
   EXPECT_EQ(end.outcome, Outcome::kFull);
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
@@ -480,9 +481,9 @@
   const std::string copy = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
   for (const std::string& bytes : {copy + copy, copy + "noise"}) {
     const int before = host_.connections();
-    EXPECT_EQ(call([&](Host& host) {
-                host.next();
-                host.raw(bytes);
+    EXPECT_EQ(call([&](FakeHost& host) {
+                host.next_request();
+                host.send_raw(bytes);
               }).outcome,
               Outcome::kOk);
     EXPECT_EQ(call(answering("500")).outcome, Outcome::kError);
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -16,7 +16,7 @@
 using testing::read_request;
 using testing::Socket;
 
-constexpr Time kToldWithin = 6'000'000;
+constexpr Time kMaxNotificationDelay = 6'000'000;
 
 std::string chunk(const std::string& text) {
   char size[16];
@@ -48,7 +48,7 @@
   Time run(const std::function<void()>& agent, int64_t revision) {
     std::thread part(agent);
     Time first = 0;
-    Watch watch(
+    DiscoveryWatch watch(
         io_, {boost::asio::ip::address_v4::loopback(), listener_.port()}, {{"a"}, {"std"}},
         [this] { return told_.empty() ? 0 : told_.back(); },
         [&](const HostList& list) {
@@ -64,12 +64,12 @@
 
   boost::asio::io_context io_;
   Socket listener_ = Socket::listen();
-  Watch* watch_ = nullptr;
+  DiscoveryWatch* watch_ = nullptr;
   std::vector<int64_t> told_;
 };
 
 // The watch falls silent, and the one that replaces it says nothing, or stops within its head. (What three
-// silences in a row add up to is AskPace's test.)
+// silences in a row add up to is WatchScheduler's test.)
 TEST_F(WatchTest, AWatchThatIsSilentAgainWhileItIsReplacedCostsLessThanAChangeMayTake) {
   EXPECT_LT(run(
                 [this] {
@@ -78,7 +78,7 @@
                   const Socket third = take(kHead + chunk(list_text(2)));
                 },
                 2),
-            kToldWithin);
+            kMaxNotificationDelay);
 }
 
 TEST_F(WatchTest, AWatchThatStopsWithinItsHeadCostsLessThanAChangeMayTake) {
@@ -89,7 +89,7 @@
                   const Socket third = take(kHead + chunk(list_text(2)));
                 },
                 2),
-            kToldWithin);
+            kMaxNotificationDelay);
 }
 
 // Heartbeats without their lines' ends, or a list that never ends, are silence too.
@@ -102,7 +102,7 @@
                   const Socket second = take(kHead + chunk(list_text(2)));
                 },
                 2),
-            kToldWithin);
+            kMaxNotificationDelay);
 }
 
 TEST_F(WatchTest, ReadsAnIndentedListInPieces) {
@@ -126,7 +126,7 @@
         const Socket second =
             take(kHead + chunk("{\"revision\":2,\"complete\":false,\"members\":[{\"id\":7}]}\n"));
         Socket third = listener_.accept();
-        asked = read_request(third)->first;
+        asked = read_request(third)->request_line;
         EXPECT_TRUE(third.send(kHead + chunk(list_text(2))));
       },
       2);
@@ -139,7 +139,9 @@
   const Time took = run(
       [&] {
         const Socket first = take(kHead + chunk(list_text(1)));
-        boost::asio::post(io_, [&] { watch_->move({boost::asio::ip::address_v4::loopback(), next.port()}); });
+        boost::asio::post(io_, [&] {
+          watch_->set_address({boost::asio::ip::address_v4::loopback(), next.port()});
+        });
         const Socket second = take(next, kHead + chunk(list_text(2)));
       },
       2);
@@ -170,13 +172,13 @@
 // A notice that got no answer is on its way a second time before it is late. The best of some tries, as this
 // machine may stand still for a moment.
 TEST(NoticesTest, AnAgentThatSaysNothingOnceMakesNoNoticeLate) {
-  Time best = kToldWithin;
+  Time best = kMaxNotificationDelay;
   for (int i = 0; i < 5 && best >= 300'000; ++i) {
     boost::asio::io_context io;
     const Socket listener = Socket::listen();
     bool sent = false;
-    Notices notices(io, {boost::asio::ip::address_v4::loopback(), listener.port()},
-                    [&](const std::string&) { sent = true; });
+    NoticeSender notices(io, {boost::asio::ip::address_v4::loopback(), listener.port()},
+                         [&](const std::string&) { sent = true; });
     std::thread agent([&] {
       Socket silent = listener.accept();
       EXPECT_TRUE(read_request(silent).has_value());
