--- a/bench/fleet/main.cpp
+++ b/bench/fleet/main.cpp
@@ -18,45 +18,47 @@
 constexpr Time kBin = kSecond / 4;
 
 // Seconds after a limit's fall from which on all relays together send at most a tenth above it.
-double settled(const std::map<Time, int64_t>& sends, const Day& day, Time until, size_t destinations) {
-  const double most = 1.1 * day.limit * static_cast<double>(destinations) * static_cast<double>(kBin) / 1e6;
-  for (Time bin = day.step / kBin; bin < until / kBin; ++bin) {
+double settled(const std::map<Time, int64_t>& sends, const DayScenario& day, Time until,
+               size_t destinations) {
+  const double most =
+      1.1 * day.limit_after_change * static_cast<double>(destinations) * static_cast<double>(kBin) / 1e6;
+  for (Time bin = day.limit_change_at / kBin; bin < until / kBin; ++bin) {
     double sum = 0;
     for (Time i = bin; i < bin + 4; ++i) sum += sends.contains(i) ? static_cast<double>(sends.at(i)) : 0;
-    if (sum <= 4 * most) return static_cast<double>(bin * kBin - day.step) / 1e6;
+    if (sum <= 4 * most) return static_cast<double>(bin * kBin - day.limit_change_at) / 1e6;
   }
-  return static_cast<double>(until - day.step) / 1e6;
+  return static_cast<double>(until - day.limit_change_at) / 1e6;
 }
 
-void play(const Day& day, int relays, int seeds) {
-  Tally all;
-  Bounds bound;
+void play(const DayScenario& day, int relays, int seeds) {
+  DestinationCounts all;
+  ScoreBounds bound;
   double settle = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    FleetModel model = play_of(day.name, relays, static_cast<uint64_t>(seed));
-    const Bounds one = bounds(model);
-    bound.top += one.top / seeds;
-    bound.floor += one.floor / seeds;
+    FleetModel model = day_model(day.name, relays, static_cast<uint64_t>(seed));
+    const ScoreBounds one = score_bounds(model);
+    bound.upper += one.upper / seeds;
+    bound.lower += one.lower / seeds;
     std::map<Time, int64_t> sends;
-    model.watch = [&sends](size_t, Time now, auto, std::span<const firspool::Action> actions) {
+    model.on_step = [&sends](size_t, Time now, auto, std::span<const firspool::Action> actions) {
       for (const auto& action : actions) sends[now / kBin] += std::holds_alternative<firspool::Send>(action);
     };
     const size_t destinations = model.destinations.size();
-    const Time until = model.changes.empty() ? model.length : model.changes.back().at;
-    Fleet fleet(std::move(model));
+    const Time until = model.changes.empty() ? model.duration : model.changes.back().at;
+    FleetEmulator fleet(std::move(model));
     fleet.run();
     all += fleet.total();
-    if (day.step > 0) settle += settled(sends, day, until, destinations) / seeds;
+    if (day.limit_change_at > 0) settle += settled(sends, day, until, destinations) / seeds;
   }
   const auto part = [&](int64_t count, int64_t of) {
     return static_cast<double>(count) / static_cast<double>(std::max<int64_t>(1, of));
   };
   std::printf("%-25s %6d  %7.3f  %5.3f %5.3f  %9.3f  %7.3f  %7.3f  %9.3f  %6.2f  %6.2f", day.name.c_str(),
-              relays, part(all.in_time, all.offered), bound.floor, bound.top,
-              part(all.delivered, all.offered), part(all.fresh, all.offered),
-              part(all.crowded, all.delivered), part(all.full, all.delivered), all.worst_cold,
-              all.worst_knowing);
-  day.step > 0 ? std::printf("  %6.2f\n", settle) : std::printf("\n");
+              relays, part(all.in_time, all.offered), bound.lower, bound.upper,
+              part(all.delivered, all.offered), part(all.new_connections, all.offered),
+              part(all.connection_limit_refusals, all.delivered), part(all.other_refusals, all.delivered),
+              all.max_slow_start_load, all.max_slow_start_load_informed);
+  day.limit_change_at > 0 ? std::printf("  %6.2f\n", settle) : std::printf("\n");
 }
 
 }  // namespace
@@ -73,7 +75,7 @@
   app.add_option("--day", names, "these days alone");
   try {
     app.parse(argc, argv);
-    for (const std::string& name : names) play_of(name, few, 1);
+    for (const std::string& name : names) day_model(name, few, 1);
   } catch (const CLI::Success& help) {
     return app.exit(help);
   } catch (const std::exception& error) {  // the command line's own errors too: one line
@@ -83,7 +85,7 @@
   std::printf("%-25s %6s  %7s  %5s %5s  %9s  %7s  %7s  %9s  %6s  %6s  %6s\n", "a message:", "relays",
               "in time", "floor", "top", "delivered", "fresh", "crowded", "refused", "cold", "knew",
               "settle");
-  for (const Day& day : days()) {
+  for (const DayScenario& day : day_scenarios()) {
     if (!names.empty() && std::find(names.begin(), names.end(), day.name) == names.end()) continue;
     play(day, few, seeds);
     play(day, many, seeds);
--- a/emulator/days.cpp
+++ b/emulator/days.cpp
@@ -22,17 +22,18 @@
 void share_limit(FleetModel& model, double rate) {
   model.settings.price_refused = 0.1;
   each(model, [&](DestinationModel& d) {
-    d.rate = d.weight = rate;
+    d.rate_limit = d.weight = rate;
     d.load = 40;
-    d.refused_count = true;
-    d.told_share = 0.5;
-    d.wait = kSecond / 2;
+    d.refused_calls_count = true;
+    d.retry_after_share = 0.5;
+    d.retry_after = kSecond / 2;
   });
 }
 
 void fall(FleetModel& model) {
   share_limit(model, kLimit);
-  model.changes = {{kFall, &DestinationModel::rate, kLimit / 3}, {kReturn, &DestinationModel::rate, kLimit}};
+  model.changes = {{kFall, &DestinationModel::rate_limit, kLimit / 3},
+                   {kReturn, &DestinationModel::rate_limit, kLimit}};
 }
 
 // One relay in a hundred is asked a hundred times as often as another.
@@ -44,19 +45,19 @@
 
 }  // namespace
 
-const std::vector<Day>& days() {
-  static const std::vector<Day> all = {
+const std::vector<DayScenario>& day_scenarios() {
+  static const std::vector<DayScenario> all = {
       {"healthy", "nothing happens", 0, 0, [](FleetModel&) {}},
       {"small-tables", "a host holds 12 connections", 0, 0,
-       [](FleetModel& m) { each(m, [](DestinationModel& d) { d.connections = 12; }); }},
+       [](FleetModel& m) { each(m, [](DestinationModel& d) { d.max_connections = 12; }); }},
       {"at-capacity", "asked for 78 of 80 calls a second", 0, 0,
        [](FleetModel& m) { each(m, [](DestinationModel& d) { d.load = 78; }); }},
       {"over-limit", "a limit of 30 calls a second", 0, 0,
        [](FleetModel& m) {
          each(m, [](DestinationModel& d) {
-           d.rate = 30;
-           d.told_share = 0.5;
-           d.wait = kSecond / 2;
+           d.rate_limit = 30;
+           d.retry_after_share = 0.5;
+           d.retry_after = kSecond / 2;
          });
        }},
       {"limit-falls", "a priced limit of 60 falls to a third for 9 s", kFall, kLimit / 3, fall},
@@ -64,12 +65,12 @@
        kLimit / 3,
        [](FleetModel& m) {
          fall(m);
-         m.shares = lopsided(m.settings.relays);
+         m.traffic_shares = lopsided(m.settings.relays);
        }},
       {"limit-falls-small-tables", "the same where a host holds 12 connections", kFall, kLimit / 3,
        [](FleetModel& m) {
          fall(m);
-         each(m, [](DestinationModel& d) { d.connections = 12; });
+         each(m, [](DestinationModel& d) { d.max_connections = 12; });
        }},
       {"limit-falls-down", "the same, and the destination is really down from 14 to 17 s", kFall, kLimit / 3,
        [](FleetModel& m) {
@@ -82,7 +83,7 @@
       {"clump", "four times the load for 2 s at a priced limit whose refusals all tell to wait", 0, 0,
        [](FleetModel& m) {
          share_limit(m, kLimit);
-         each(m, [](DestinationModel& d) { d.told_share = 1; });
+         each(m, [](DestinationModel& d) { d.retry_after_share = 1; });
          m.changes = {{kFall, &DestinationModel::load, 160},
                       {kFall + 2 * kSecond, &DestinationModel::load, 40}};
        }},
@@ -111,13 +112,13 @@
        }},
       {"herd", "seven in ten relays are killed at once and come back with their folders", 0, 0,
        [](FleetModel& m) {
-         m.herd = {12 * kSecond, 0.7, kSecond};
+         m.mass_restart = {12 * kSecond, 0.7, kSecond};
        }},
   };
   return all;
 }
 
-FleetModel cold_day(int relays, uint64_t seed) {
+FleetModel random_outage_model(int relays, uint64_t seed) {
   if (relays < 1) {
     throw std::invalid_argument(std::to_string(relays) + " relays; expected one or more");
   }
@@ -128,62 +129,63 @@
   const auto time = [&](double low, double high) { return static_cast<Time>(within(low, high) * 1e6); };
   FleetModel model;
   model.seed = seed;
-  model.settings = usual_settings(relays);
+  model.settings = typical_settings(relays);
   model.settings.may_probe = random() % 2 == 0;
-  model.settings.cold = time(8, 12);
+  model.settings.slow_start = time(8, 12);
   model.settings.start_capacity = within(0.21, 0.44);
-  model.settings.fall_multiple = within(1.5, 3);
-  model.settings.fall_window = time(2, 3);
-  model.one_way = time(0.005, 0.06);
-  model.length = 50 * kSecond;
+  model.settings.overload_factor = within(1.5, 3);
+  model.settings.overload_window = time(2, 3);
+  model.one_way_latency = time(0.005, 0.06);
+  model.duration = 50 * kSecond;
   DestinationModel d;
   d.number = 1;
   d.hosts = {{1, 80}};
   if (random() % 2 == 0) d.hosts.push_back({2, 80});
-  d.service = time(0.1, 0.5);
-  d.places = 1 + static_cast<int>(random() % 6);
-  d.queue = 2 * d.places;
-  const double able = static_cast<double>(d.places) * static_cast<double>(d.hosts.size()) * 1e6 /
-                      static_cast<double>(d.service);
+  d.service_time = time(0.1, 0.5);
+  d.concurrency = 1 + static_cast<int>(random() % 6);
+  d.max_queued = 2 * d.concurrency;
+  const double able = static_cast<double>(d.concurrency) * static_cast<double>(d.hosts.size()) * 1e6 /
+                      static_cast<double>(d.service_time);
   d.weight = able;
   d.load = able * within(0.3, 1.1);
   d.down_from = 15 * kSecond;
   d.down_to = d.down_from + time(4, 20);
   model.destinations.push_back(d);
   if (random() % 2 == 0) {
-    for (int i = 0; i < relays; ++i) model.shares.push_back(std::exp(within(-1.5, 1.5)));
+    for (int i = 0; i < relays; ++i) model.traffic_shares.push_back(std::exp(within(-1.5, 1.5)));
   }
   if (random() % 3 == 0) {
-    model.herd.part = within(0.1, 0.9);
-    model.herd.killed = d.down_to - time(0.5, 3);
-    model.herd.away = time(0.3, 3);
+    model.mass_restart.share = within(0.1, 0.9);
+    model.mass_restart.killed_at = d.down_to - time(0.5, 3);
+    model.mass_restart.downtime = time(0.3, 3);
   }
   return model;
 }
 
-FleetModel play_of(const std::string& name, int relays, uint64_t seed) {
+FleetModel day_model(const std::string& name, int relays, uint64_t seed) {
   if (relays < 1) throw std::invalid_argument("relays is " + std::to_string(relays) + "; expected 1 or more");
-  const auto day = std::find_if(days().begin(), days().end(), [&](const Day& d) { return d.name == name; });
-  if (day == days().end()) {
+  const auto day = std::find_if(day_scenarios().begin(), day_scenarios().end(),
+                                [&](const DayScenario& d) { return d.name == name; });
+  if (day == day_scenarios().end()) {
     std::string known;
-    for (const Day& d : days()) known += (known.empty() ? "" : ", ") + d.name;
+    for (const DayScenario& d : day_scenarios()) known += (known.empty() ? "" : ", ") + d.name;
     throw std::invalid_argument("day is '" + name + "'; expected one of " + known);
   }
   FleetModel model;
-  model.settings = usual_settings(relays);
+  model.settings = typical_settings(relays);
   model.seed = seed;
-  model.length = 40 * kSecond;
+  model.duration = 40 * kSecond;
   for (int i = 0; i < 10; ++i) {
     DestinationModel d;
     d.number = i;
     d.hosts = {{static_cast<uint32_t>(1 + 2 * i), 80}, {static_cast<uint32_t>(2 + 2 * i), 80}};
-    d.places = 4;
-    d.queue = 8;
+    d.concurrency = 4;
+    d.max_queued = 8;
     d.weight = 80;
     d.load = 45;
     model.destinations.push_back(d);
   }
-  day->shape(model);
+  day->configure(model);
   return model;
 }
 
@@ -194,18 +196,18 @@
 // Calls a second that it can take, cold or warm; a limit above that changes nothing.
 double able(const DestinationModel& d, const firspool::Settings& s, Time now) {
   if (now >= d.down_from && now < d.down_to) return 0;
-  double rate = static_cast<double>(d.places) * static_cast<double>(d.hosts.size()) * 1e6 /
-                static_cast<double>(d.service);
-  if (d.down_to > d.down_from && now >= d.down_to && s.cold > 0) {
-    const double warm = static_cast<double>(now - d.down_to) / static_cast<double>(s.cold);
+  double rate = static_cast<double>(d.concurrency) * static_cast<double>(d.hosts.size()) * 1e6 /
+                static_cast<double>(d.service_time);
+  if (d.down_to > d.down_from && now >= d.down_to && s.slow_start > 0) {
+    const double warm = static_cast<double>(now - d.down_to) / static_cast<double>(s.slow_start);
     rate *= s.start_capacity + (1 - s.start_capacity) * std::min(1.0, warm);
   }
-  return d.rate > 0 ? std::min(rate, d.rate) : rate;
+  return d.rate_limit > 0 ? std::min(rate, d.rate_limit) : rate;
 }
 
 }  // namespace
 
-Bounds bounds(const FleetModel& model) {
+ScoreBounds score_bounds(const FleetModel& model) {
   std::mt19937_64 random(model.seed);
   int64_t offered = 0;
   int64_t best = 0;
@@ -213,26 +215,26 @@
   std::vector<DestinationModel> all = model.destinations;
   for (DestinationModel& d : all) {
     const firspool::ClassSettings& c = model.settings.classes.at(d.message_class);
-    const Time way = 2 * model.one_way + d.service;
+    const Time way = 2 * model.one_way_latency + d.service_time;
     std::deque<Time> held;  // when each was handed in
     double room = 0;        // for whom it is held until there is
     double once = 0;        // for who tries once
-    for (Time now = 0; now < model.length + c.give_up; now += kStep) {
+    for (Time now = 0; now < model.duration + c.give_up; now += kStep) {
       for (const Change& change : model.changes) {
-        if (change.at <= now && now < change.at + kStep) d.*change.what = change.value;
+        if (change.at <= now && now < change.at + kStep) d.*change.field = change.value;
       }
       const double rate = able(d, model.settings, now);
       const double part = static_cast<double>(kStep) / 1e6;
       room = std::min(std::max(1.0, rate * 0.1), room + rate * part);
       once = std::min(std::max(1.0, rate), once + rate * part);
-      const int came = now < model.length ? std::poisson_distribution<int>(d.load * part)(random) : 0;
+      const int came = now < model.duration ? std::poisson_distribution<int>(d.load * part)(random) : 0;
       offered += came;
       for (int i = 0; i < came; ++i) {
         held.push_back(now);
         if (once >= 1) {
           once -= 1;
           ++least;
-        } else if (d.refused_count) {
+        } else if (d.refused_calls_count) {
           once -= 1;
         }
       }
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -30,19 +30,20 @@
   std::vector<Endpoint> hosts;
   double weight = 1;  // as the list tells it: calls a second that it takes from all relays together
   // Each host of it:
-  Time service = 100'000;
-  int places = 4;       // calls served at once
-  int queue = 8;        // calls that wait for a place
-  int connections = 0;  // that it holds at most, idle ones counted; 0: any number
+  Time service_time = 100'000;
+  int concurrency = 4;      // calls served at once
+  int max_queued = 8;       // calls that wait for a place
+  int max_connections = 0;  // that it holds at most, idle ones counted; 0: any number
   // The whole of it:
-  double rate = 0;             // calls a second above which it turns away; 0: none
-  bool refused_count = false;  // whether calls that it turns away use the rate up too
-  double told_share = 0;       // of these refusals, those that tell to wait
-  Time wait = 0;               // and for how long
-  Time down_from = 0;          // from then on it refuses connections
-  Time down_to = 0;            // and is back, cold, from here on
-  Time silent_from = 0;  // from then on nothing comes back: what came before runs on, its answer is lost
-  Time silent_to = 0;
+  double rate_limit = 0;             // calls a second above which it turns away; 0: none
+  bool refused_calls_count = false;  // whether calls that it turns away use the rate up too
+  double retry_after_share = 0;      // of these refusals, those that tell to wait
+  Time retry_after = 0;              // and for how long
+  Time down_from = 0;                // from then on it refuses connections
+  Time down_to = 0;                  // and is back, cold, from here on
+  Time unresponsive_from =
+      0;  // from then on nothing comes back: what came before runs on, its answer is lost
+  Time unresponsive_to = 0;
   double reset_share = 0;  // of the calls that it serves, those whose connection is reset before the answer
   double load = 0;         // messages a second handed in for it, over all relays
   int message_class = 0;   // of these
@@ -50,77 +51,79 @@
 
 struct Change {  // of destinations, on the way
   Time at = 0;
-  double DestinationModel::*what = nullptr;
+  double DestinationModel::*field = nullptr;
   double value = 0;
 };
 
-struct Herd {  // relays that are killed at once, and come back within a second of each other
-  Time killed = 0;
-  double part = 0;  // of all; 0: none
-  Time away = 0;    // until the first of them is back
+struct MassRestart {  // relays that are killed at once, and come back within a second of each other
+  Time killed_at = 0;
+  double share = 0;   // of all; 0: none
+  Time downtime = 0;  // until the first of them is back
 };
 
 struct FleetModel {
   firspool::Settings settings;  // `relays` says how many
   std::vector<DestinationModel> destinations;
   std::vector<Change> changes;  // each of all destinations
-  Herd herd;
-  std::vector<double> shares;  // of the traffic, for each relay; empty: alike
-  Time one_way = 20'000;       // to a host
-  int handshake = 2;           // round trips that a new connection takes
-  Time length = 30 * kSecond;  // messages are handed in for so long
+  MassRestart mass_restart;
+  std::vector<double> traffic_shares;  // of the traffic, for each relay; empty: alike
+  Time one_way_latency = 20'000;       // to a host
+  int handshake_round_trips = 2;       // round trips that a new connection takes
+  Time duration = 30 * kSecond;        // messages are handed in for so long
   uint64_t seed = 1;
   // Sees each step of each relay's module.
   std::function<void(size_t relay, Time, std::span<const firspool::Event>, std::span<const firspool::Action>)>
-      watch;
+      on_step;
 };
 
-struct Tally {  // of one destination
+struct DestinationCounts {  // of one destination
   int64_t offered = 0;
   int64_t delivered = 0;
   int64_t in_time = 0;
   int64_t refused = 0;
   int64_t refused_late = 0;  // of these, in the last second of their time
   int64_t failed = 0;
-  int64_t doubled = 0;  // calls that its class forbids, as an earlier one may have run, also before a restart
-  int64_t drained = 0;  // calls sent to a host a grace after its relay was told that it drains or is gone
-  int64_t calls = 0;    // that reached a host which was up
-  int64_t fresh = 0;    // of these, on a new connection
-  int64_t crowded = 0;  // turned away for want of a place among its connections
-  int64_t full = 0;     // turned away for another reason
-  int64_t down = 0;     // that found it down
+  int64_t forbidden_repeats =
+      0;  // calls that its class forbids, as an earlier one may have run, also before a restart
+  int64_t calls_after_drain =
+      0;              // calls sent to a host a grace after its relay was told that it drains or is gone
+  int64_t calls = 0;  // that reached a host which was up
+  int64_t new_connections = 0;            // of these, on a new connection
+  int64_t connection_limit_refusals = 0;  // turned away for want of a place among its connections
+  int64_t other_refusals = 0;             // turned away for another reason
+  int64_t connect_failures = 0;           // that found it down
   int64_t probes = 0;
   // The most that was sent in a fall window after its return, in parts of what it could do then.
-  double worst_cold = 0;
-  double worst_knowing = 0;  // and where relays that saw it fail sent two thirds of this
+  double max_slow_start_load = 0;
+  double max_slow_start_load_informed = 0;  // and where relays that saw it fail sent two thirds of this
   // Returns after which more came within a fall window than a budget of N calls and what chance adds to it,
   // twice the root of N and two more; and of these, those on which it were relays that saw it fail.
-  int64_t falls = 0;
-  int64_t falls_knowing = 0;
-  double worst_excess = 0;  // the most that came over N from those, in roots of N
+  int64_t overloads = 0;
+  int64_t overloads_informed = 0;
+  double max_overload_excess = 0;  // the most that came over N from those, in roots of N
 
-  Tally& operator+=(const Tally& other);  // of the worst, the worse
+  DestinationCounts& operator+=(const DestinationCounts& other);  // of the worst, the worse
 };
 
 // Settings as a deployment of so many relays is usually given them: one class, safe to repeat.
-firspool::Settings usual_settings(int relays);
+firspool::Settings typical_settings(int relays);
 
-class Fleet {
+class FleetEmulator {
  public:
-  explicit Fleet(FleetModel model);
-  ~Fleet();
+  explicit FleetEmulator(FleetModel model);
+  ~FleetEmulator();
 
-  void at(Time when, std::function<void()> what);  // something that the test does on the way
+  void schedule(Time when, std::function<void()> what);  // something that the test does on the way
   // Killed now, or told to end and killed a while later; back at a time with what its folder would hold.
   void kill(size_t relay, Time back);
-  void end(size_t relay, Time killed, Time back);
+  void shut_down(size_t relay, Time killed, Time back);
   // Tells all relays of members, each by itself within a time.
-  void tell(std::vector<firspool::Member> members, Time within);
+  void update_members(std::vector<firspool::Member> members, Time within);
   void run();
 
   DestinationModel& destination(int number);  // may be changed on the way
-  const Tally& tally(int destination) const { return tallies_.at(destination); }
-  Tally total() const;
+  const DestinationCounts& counts(int destination) const { return tallies_.at(destination); }
+  DestinationCounts total() const;
 
  private:
   struct Relay;
@@ -157,7 +160,7 @@
   std::vector<std::unique_ptr<Relay>> relays_;
   std::map<Endpoint, Host> hosts_;
   std::vector<firspool::Member> list_;  // as the last told
-  std::map<int, Tally> tallies_;
+  std::map<int, DestinationCounts> tallies_;
   struct Call;
   std::map<uint64_t, Call> calls_;
   std::discrete_distribution<size_t> front_;
--- a/emulator/overbooked.h
+++ b/emulator/overbooked.h
@@ -8,22 +8,22 @@
 
 namespace umberhoist::emulator {
 
-class Overbooked {
+class OverloadedDirectory {
  public:
   using Time = int64_t;  // microseconds
 
-  struct Answer {
+  struct Reply {
     Time at = 0;  // when the asker knows
     bool served = false;
   };
 
   // `overbook`: an ask is taken on while its answer would come within so many time-outs.
-  Overbooked(double asks_per_s, Time timeout, double overbook)
+  OverloadedDirectory(double asks_per_s, Time timeout, double overbook)
       : work_(static_cast<Time>(1e6 / asks_per_s)),
         timeout_(timeout),
         most_(static_cast<Time>(overbook * static_cast<double>(timeout))) {}
 
-  Answer ask(Time now) {
+  Reply request(Time now) {
     const Time done = std::max(free_at_, now) + work_;
     if (done - now > most_) return {now, false};
     free_at_ = done;
--- a/include/firspool/policy.h
+++ b/include/firspool/policy.h
@@ -29,8 +29,8 @@
 
 // ---- Settings: told once, at the start ----
 
-enum class Effect { kSafe, kKeyed, kUnsafe };  // what a second run of a message would do
-enum class KeyScope { kAll, kZone, kCell };    // which endpoints of a destination drop repeats
+enum class Effect { kSafe, kKeyed, kUnsafe };       // what a second run of a message would do
+enum class KeyScope { kAll, kZone, kDestination };  // which endpoints of a destination drop repeats
 
 struct ClassSettings {
   std::string name;
@@ -47,8 +47,9 @@
 
 struct KindSettings {
   std::string name;
-  bool apart = false;  // the endpoints of a destination are routes apart, each with its own limit and outages
-  int batch = 1;       // messages that may travel as one call
+  bool independent_endpoints =
+      false;          // the endpoints of a destination are routes apart, each with its own limit and outages
+  int max_batch = 1;  // messages that may travel as one call
 };
 
 struct TenantSettings {
@@ -74,27 +75,29 @@
   int max_attempts = 1;
   int streams_per_conn = 1;
   bool may_probe = false;
-  bool may_tell_peers = false;
+  bool may_notify_peers = false;
   bool may_cancel = false;
-  bool ask_for_list = false;       // the list comes only to those who watch
-  bool retry_after_heard = false;  // clients are told the wait of a Refuse
-  bool late_by_halves = false;     // worth falls by half with each further target; else evenly to the end
+  bool list_requires_watch = false;      // the list comes only to those who watch
+  bool clients_get_retry_after = false;  // clients are told the wait of a Refuse
+  bool exponential_late_worth =
+      false;  // worth falls by half with each further target; else evenly to the end
   Weights weights = Weights::kNone;
-  int report_left = -1;   // index of the share of a limit that is left, in a report; -1: not reported
-  int report_limit = -1;  // index of the limit in calls a second; -1: not reported
-  double over_share_worth = 1;
+  int report_remaining_index =
+      -1;                       // index of the share of a limit that is left, in a report; -1: not reported
+  int report_limit_index = -1;  // index of the limit in calls a second; -1: not reported
+  double over_quota_worth = 1;
   Time tick = 0;
-  Time conn_idle = 0;
+  Time conn_idle_timeout = 0;
   Time connect_timeout = 0;
   Time max_retry_after = 0;
-  Time answer_slack = 0;
+  Time reply_slack = 0;
   Time drain_grace = 0;
-  Time ask_every = 0;
-  Time order_pause = 0;
-  Time cold = 0;              // after an outage a destination is warm within this time
-  Time fall_window = 0;       // sent too much for this long while cold, it falls over
-  double fall_multiple = 1;   // too much: more than this many times its capacity at that moment
-  double start_capacity = 1;  // share of its capacity that it returns with
+  Time list_request_interval = 0;
+  Time in_order_pause = 0;
+  Time slow_start = 0;         // after an outage a destination is warm within this time
+  Time overload_window = 0;    // sent too much for this long while cold, it falls over
+  double overload_factor = 1;  // too much: more than this many times its capacity at that moment
+  double start_capacity = 1;   // share of its capacity that it returns with
   double price_cross_zone = 0;
   double price_handshake = 0;
   double price_waste = 0;
@@ -111,11 +114,11 @@
 
 // ---- Events ----
 
-enum class Listing { kReady, kDraining, kGone };
+enum class HostState { kReady, kDraining, kRemoved };
 
 struct Member {
   Endpoint endpoint;
-  Listing listing = Listing::kReady;
+  HostState state = HostState::kReady;
   int zone = 0;
   int kind = 0;
   int destination = 0;
@@ -137,21 +140,21 @@
   int destination = 0;
   // Of a message that is resumed after a restart: what became of it before. Attempts are counted on.
   int attempts = 0;
-  bool ran = false;   // an attempt may have run
-  Time ran_sent = 0;  // when the first such attempt was sent
-  int ran_zone = 0;
+  bool maybe_executed = false;   // an attempt may have run
+  Time maybe_executed_sent = 0;  // when the first such attempt was sent
+  int maybe_executed_zone = 0;
 };
 
 enum class Outcome {
   kOk,
   kError,
-  kFull,
+  kRefused,
   kTimeout,
   kConnectFailed,
   kReset,
   kCancelled,
-  kMoot,
-  kSpoilt  // an answer that cannot be read: it may have run, and the host is well
+  kNotStarted,
+  kMalformed  // an answer that cannot be read: it may have run, and the host is well
 };
 
 struct AttemptEnded {
@@ -160,16 +163,17 @@
   Endpoint endpoint;
   Outcome outcome = Outcome::kError;
   bool final = false;  // the message is finished
-  Time took = 0;
-  Time wait = 0;         // with kFull or kSpoilt: the wait that was told, 0 if none
-  bool crowded = false;  // with kFull: the host ended the new connection on which it turned the call away
+  Time duration = 0;
+  Time retry_after = 0;  // with kRefused or kMalformed: the wait that was told, 0 if none
+  bool connection_limit_reached =
+      false;  // with kRefused: the host ended the new connection on which it turned the call away
   std::vector<float> report;
 };
 
 struct ProbeEnded {
   Endpoint endpoint;
   bool ok = false;
-  Time took = 0;
+  Time duration = 0;
   std::vector<float> report;
 };
 
@@ -181,44 +185,45 @@
   uint64_t token = 0;
 };
 
-struct PeerNote {
+struct PeerMessage {
   int from = 0;
   std::string bytes;
 };
 
-// What a fresh module would not know of a destination: it is told by Remember, and given back after a restart
-// by the caller, before any message is. Outages of routes apart are not told.
-struct DestinationMemory {
+// What a fresh module would not know of a destination: it is told by SaveDestinationState, and given back
+// after a restart by the caller, before any message is. Outages of routes apart are not told.
+struct DestinationState {
   int destination = 0;
-  int tokens = 0;       // of the retry bucket, in its parts
-  Time out_since = 0;   // 0: no outage
-  Time back_since = 0;  // 0: still out
-  double base = 0;      // own served rate before it
-  double pace = 0;      // own calls a second at most, in steps; 0: it was never refused
-  bool operator==(const DestinationMemory&) const = default;
+  int retry_tokens = 0;      // of the retry bucket, in its parts
+  Time outage_start = 0;     // 0: no outage
+  Time recovery_start = 0;   // 0: still out
+  double baseline_rate = 0;  // own served rate before it
+  double pacing_rate = 0;    // own calls a second at most, in steps; 0: it was never refused
+  bool operator==(const DestinationState&) const = default;
 };
 
 // Who finds out when an outage of a destination ends. Of routes apart each relay does so itself.
-struct Scouting {
-  enum class By { kAll, kSelf, kOther };  // each relay its even part; this one for all; another one
+struct TrialAssignment {
+  enum class Duty { kShared, kSelf, kOther };  // each relay its even part; this one for all; another one
   int destination = 0;
-  By by = By::kAll;
+  Duty duty = Duty::kShared;
 };
 
 // What another relay saw of a destination; of no weight against what this one saw itself.
-struct SeenElsewhere {
+struct PeerHealthReport {
   int destination = 0;
-  Time out_since = 0;
-  Time back_since = 0;  // 0: still out
-  double base = 0;      // served a second before, as that relay knew
+  Time outage_start = 0;
+  Time recovery_start = 0;   // 0: still out
+  double baseline_rate = 0;  // served a second before, as that relay knew
 };
 
-struct Closing {  // this process ends soon: a call that may not be over by then is not started
+struct ShutdownScheduled {  // this process ends soon: a call that may not be over by then is not started
   Time at = 0;
 };
 
-using Event = std::variant<MembersChanged, Arrival, AttemptEnded, ProbeEnded, Withdrawn, TimerFired, PeerNote,
-                           Closing, DestinationMemory, Scouting, SeenElsewhere>;
+using Event =
+    std::variant<MembersChanged, Arrival, AttemptEnded, ProbeEnded, Withdrawn, TimerFired, PeerMessage,
+                 ShutdownScheduled, DestinationState, TrialAssignment, PeerHealthReport>;
 
 // ---- Actions ----
 
@@ -247,7 +252,7 @@
   Endpoint endpoint;
 };
 
-struct CloseIdle {
+struct CloseIdleConnections {
   Endpoint endpoint;
 };
 
@@ -258,7 +263,7 @@
 
 struct WatchList {};
 
-struct TellPeers {
+struct NotifyPeers {
   std::string bytes;
 };
 
@@ -266,12 +271,12 @@
   std::string text;
 };
 
-struct Remember {  // the newest word on a destination
-  DestinationMemory memory;
+struct SaveDestinationState {  // the newest word on a destination
+  DestinationState state;
 };
 
-using Action =
-    std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdle, SetTimer, WatchList, TellPeers, Log, Remember>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdleConnections, SetTimer, WatchList,
+                            NotifyPeers, Log, SaveDestinationState>;
 
 class Policy {
  public:
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -37,9 +37,9 @@
     host.id = entry.at("id").get<std::string>();
     host.address = parse_address(entry.at("host_port").get<std::string>());
     const auto phase = entry.at("phase").get<std::string>();
-    host.member.listing = phase == "active"    ? Listing::kReady
-                          : phase == "leaving" ? Listing::kDraining
-                                               : Listing::kGone;
+    host.member.state = phase == "active"    ? HostState::kReady
+                        : phase == "leaving" ? HostState::kDraining
+                                             : HostState::kRemoved;
     host.member.zone = index_of(names.zones, entry.at("locality").get<std::string>());
     host.member.kind = index_of(names.kinds, entry.at("flavor").get<std::string>());
     host.member.destination = entry.at("cell").get<int>();
@@ -56,11 +56,11 @@
   const auto gone = removed_.find(listed.id);
   if (gone != removed_.end()) return listed.up_since <= gone->second;
   const auto handle = handles_.find(listed.id);
-  return handle != handles_.end() && hosts_.at(handle->second).member.listing >= listed.member.listing;
+  return handle != handles_.end() && hosts_.at(handle->second).member.state >= listed.member.state;
 }
 
 void Directory::set(const ListedHost& listed, Time wall, std::vector<Member>& changed) {
-  const bool left = listed.member.listing == Listing::kGone;
+  const bool left = listed.member.state == HostState::kRemoved;
   auto handle = handles_.find(listed.id);
   if (handle == handles_.end()) {
     if (left) return void(removed_.try_emplace(listed.id, wall));
@@ -86,8 +86,8 @@
     std::set<std::string> listed;
     for (const ListedHost& host : list.hosts) listed.insert(host.id);
     for (auto& [handle, host] : hosts_) {
-      if (listed.contains(host.id) || host.member.listing == Listing::kGone) continue;
-      host.member.listing = Listing::kGone;
+      if (listed.contains(host.id) || host.member.state == HostState::kRemoved) continue;
+      host.member.state = HostState::kRemoved;
       removed_.try_emplace(host.id, wall);
       members->push_back(host.member);
     }
@@ -126,7 +126,7 @@
 
 bool Directory::is_active(const Endpoint& endpoint) const {
   const ListedHost* host = find(endpoint);
-  return host != nullptr && host->member.listing == Listing::kReady;
+  return host != nullptr && host->member.state == HostState::kReady;
 }
 
 }  // namespace firspool::relay
--- a/relay/fleet_side.cpp
+++ b/relay/fleet_side.cpp
@@ -15,10 +15,10 @@
 constexpr std::chrono::milliseconds kTick{100};
 constexpr Time kLately = 2'000'000;  // a call that was served so long ago tells that its destination is up
 
-Scouting::By by(Scouts scouts) {
-  return scouts == Scouts::kSelf    ? Scouting::By::kSelf
-         : scouts == Scouts::kOther ? Scouting::By::kOther
-                                    : Scouting::By::kAll;
+TrialAssignment::Duty by(Scouts scouts) {
+  return scouts == Scouts::kSelf    ? TrialAssignment::Duty::kSelf
+         : scouts == Scouts::kOther ? TrialAssignment::Duty::kOther
+                                    : TrialAssignment::Duty::kShared;
 }
 
 }  // namespace
@@ -37,7 +37,7 @@
     const ClassSettings& c = settings_.classes[in.message_class];
     const bool late = now > in.due - c.give_up + c.target;
     held.push_back({number, in.destination, late ? c.worth * c.late_worth : c.worth, in.due,
-                    in.ran && c.effect == Effect::kUnsafe});
+                    in.maybe_executed && c.effect == Effect::kUnsafe});
   }
   const size_t count = held.size();
   umberhoist::recovery::RecoveryLimits limits;
@@ -54,15 +54,15 @@
 }
 
 void FleetAdapter::ended(int destination, Outcome outcome, Time now) {
-  const bool served = outcome == Outcome::kOk || outcome == Outcome::kSpoilt;
+  const bool served = outcome == Outcome::kOk || outcome == Outcome::kMalformed;
   if (served) served_[destination] = now;
   if (!return_) return;
   served ? return_->on_served(destination, now) : return_->on_failed(destination, now);
   hand_over(now);
 }
 
-void FleetAdapter::remember(const DestinationMemory& memory) {
-  if (memory.out_since == 0) {
+void FleetAdapter::remember(const DestinationState& memory) {
+  if (memory.outage_start == 0) {
     outages_.erase(memory.destination);
   } else {
     outages_[memory.destination] = memory;
@@ -106,10 +106,11 @@
   std::map<int, Sight> sights;
   for (const auto& [destination, memory] : outages_) {
     Sight& sight = sights[destination];
-    sight.out_since = memory.out_since;
-    sight.back_since = memory.back_since;
-    sight.base = memory.base;
-    sight.scouting = memory.back_since == 0 && std::find(held.begin(), held.end(), destination) != held.end();
+    sight.out_since = memory.outage_start;
+    sight.back_since = memory.recovery_start;
+    sight.base = memory.baseline_rate;
+    sight.scouting =
+        memory.recovery_start == 0 && std::find(held.begin(), held.end(), destination) != held.end();
   }
   for (const auto& [destination, at] : served_) sights[destination].served = true;
   std::vector<Sight> out;
@@ -122,14 +123,16 @@
 
 void FleetAdapter::tell_module() {
   for (const auto& [destination, memory] : outages_) {
-    const Scouting::By next = memory.back_since == 0 ? by(fleet_->scouts(destination)) : Scouting::By::kAll;
-    Scouting::By& last = scouting_[destination];
-    if (next != last) hooks_.happened(Scouting{destination, next});
+    const TrialAssignment::Duty next =
+        memory.recovery_start == 0 ? by(fleet_->scouts(destination)) : TrialAssignment::Duty::kShared;
+    TrialAssignment::Duty& last = scouting_[destination];
+    if (next != last) hooks_.happened(TrialAssignment{destination, next});
     last = next;
   }
   std::erase_if(scouting_, [&](const auto& entry) {
     if (outages_.contains(entry.first)) return false;
-    if (entry.second != Scouting::By::kAll) hooks_.happened(Scouting{entry.first, Scouting::By::kAll});
+    if (entry.second != TrialAssignment::Duty::kShared)
+      hooks_.happened(TrialAssignment{entry.first, TrialAssignment::Duty::kShared});
     return true;
   });
   for (const Sight& sight : fleet_->sights()) {
@@ -141,7 +144,7 @@
     if (!news) continue;
     last = {sight.out_since, sight.back_since};
     if (sight.out_since != 0) {
-      hooks_.happened(SeenElsewhere{sight.destination, sight.out_since, sight.back_since, sight.base});
+      hooks_.happened(PeerHealthReport{sight.destination, sight.out_since, sight.back_since, sight.base});
     }
   }
 }
--- a/relay/fleet_side.h
+++ b/relay/fleet_side.h
@@ -32,7 +32,7 @@
   void resume(const Arrival& in);
   void resumed(Time now);  // no more of them come
   void ended(int destination, Outcome outcome, Time now);
-  void remember(const DestinationMemory& memory);
+  void remember(const DestinationState& memory);
   void finished(uint64_t number);
   void propose(std::string text, std::function<void(bool, const std::string&)> told) {
     fleet_->propose(std::move(text), std::move(told));
@@ -51,10 +51,10 @@
   std::unique_ptr<umberhoist::fleet::Fleet> fleet_;
   Hooks hooks_;
   boost::asio::steady_timer timer_;
-  std::map<int, Scouting::By> scouting_;       // as the module was told
-  std::map<int, DestinationMemory> outages_;   // as the module told
-  std::map<int, Time> served_;                 // when a call was last served
-  std::map<int, std::pair<Time, Time>> told_;  // what others saw, as the module was told: out, back
+  std::map<int, TrialAssignment::Duty> scouting_;  // as the module was told
+  std::map<int, DestinationState> outages_;        // as the module told
+  std::map<int, Time> served_;                     // when a call was last served
+  std::map<int, std::pair<Time, Time>> told_;      // what others saw, as the module was told: out, back
   std::map<uint64_t, Arrival> waiting_;
   std::optional<umberhoist::recovery::StagedRecovery> return_;
   uint64_t running_ = 0;
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -49,7 +49,7 @@
 Upstream::Limits upstream_limits(const Config& config) {
   Upstream::Limits out;
   out.connect_timeout = config.settings.connect_timeout;
-  out.idle_timeout = config.settings.conn_idle;
+  out.idle_timeout = config.settings.conn_idle_timeout;
   out.max_connections = config.max_sockets - kOwnDescriptors - most_clients(config);
   return out;
 }
@@ -90,7 +90,8 @@
           io, config.discovery, config.list_names,
           [this, known = config.known_hosts.revision] { return std::max(known, directory_.revision()); },
           [this](const HostList& list) { told(list); }, [this] { open(); },
-          {{config.settings.ask_for_list ? config.settings.ask_every : 0, config.settings.relays},
+          {{config.settings.list_requires_watch ? config.settings.list_request_interval : 0,
+            config.settings.relays},
            config.seed},
           !config.known_hosts.hosts.empty()),
       listening_(std::move(listening)),
@@ -124,7 +125,7 @@
   const auto facts = journal_.remembered();
   HostList list;
   list.complete = true;
-  std::vector<DestinationMemory> memories;
+  std::vector<DestinationState> memories;
   const Time offset = steady_now() - wall_now();
   const auto steady = [&](Time t) { return t == 0 ? 0 : t + offset; };
   nlohmann::json members = nlohmann::json::array();
@@ -146,17 +147,17 @@
       parse_list({{"revision", list.revision}, {"complete", true}, {"members", members}}, config_.list_names)
           .hosts;
   if (!list.hosts.empty()) told(list);
-  for (const DestinationMemory& memory : memories) happened(memory);
+  for (const DestinationState& memory : memories) happened(memory);
 }
 
-void Relay::remember(const DestinationMemory& memory) {
+void Relay::remember(const DestinationState& memory) {
   const Time offset = wall_now() - steady_now();
   const auto wall = [&](Time t) { return t == 0 ? 0 : t + offset; };
-  const nlohmann::json fact = {{"tokens", memory.tokens},
-                               {"out_since", wall(memory.out_since)},
-                               {"back_since", wall(memory.back_since)},
-                               {"base", memory.base},
-                               {"pace", memory.pace}};
+  const nlohmann::json fact = {{"tokens", memory.retry_tokens},
+                               {"out_since", wall(memory.outage_start)},
+                               {"back_since", wall(memory.recovery_start)},
+                               {"base", memory.baseline_rate},
+                               {"pace", memory.pacing_rate}};
   journal_.remember(kDestination + std::to_string(memory.destination), fact.dump());
 }
 
@@ -217,11 +218,11 @@
     in.attempts = entry.attempts;
     if (!entry.unsettled.empty()) {
       const auto& [sent, zone] = entry.unsettled.begin()->second;
-      in.ran = true;
-      in.ran_sent = now + (sent - wall);
+      in.maybe_executed = true;
+      in.maybe_executed_sent = now + (sent - wall);
       // and how long ago an attempt of a time to come was made is not known: no window counts on it.
-      if (sent > wall) in.ran_sent = std::numeric_limits<Time>::min() / 2;
-      in.ran_zone = zone;
+      if (sent > wall) in.maybe_executed_sent = std::numeric_limits<Time>::min() / 2;
+      in.maybe_executed_zone = zone;
     }
     fleet_ ? fleet_->resume(in) : happened(in);
   });
@@ -287,7 +288,7 @@
 }
 
 void Relay::remember_host(const ListedHost& host) {
-  const bool gone = host.member.listing == Listing::kGone;
+  const bool gone = host.member.state == HostState::kRemoved;
   journal_.remember(kHost + host.id, gone ? "" : host.text);
   journal_.remember(kGone + host.id, gone ? std::to_string(directory_.removed().at(host.id)) : "");
 }
@@ -296,7 +297,7 @@
 // until its last call has ended.
 void Relay::forget_gone(const Endpoint& endpoint) {
   const ListedHost* host = directory_.find(endpoint);
-  if (host == nullptr || host->member.listing != Listing::kGone) return;
+  if (host == nullptr || host->member.state != HostState::kRemoved) return;
   upstream_.close_idle(endpoint);
   if (!out_.contains(endpoint)) directory_.erase(endpoint);
 }
@@ -342,7 +343,7 @@
 
 std::pair<int, Endpoint> Relay::lane_of(const Member& member) const {
   const auto& kinds = config_.settings.kinds;
-  const bool apart = member.kind < static_cast<int>(kinds.size()) && kinds[member.kind].apart;
+  const bool apart = member.kind < static_cast<int>(kinds.size()) && kinds[member.kind].independent_endpoints;
   return {member.destination, apart ? member.endpoint : Endpoint{}};
 }
 
@@ -378,13 +379,13 @@
 }
 
 void Relay::ended(const AttemptEnded& end, bool began) {
-  const bool never = end.outcome == Outcome::kFull || end.outcome == Outcome::kConnectFailed ||
-                     end.outcome == Outcome::kMoot;
+  const bool never = end.outcome == Outcome::kRefused || end.outcome == Outcome::kConnectFailed ||
+                     end.outcome == Outcome::kNotStarted;
   const auto held = held_.find(end.id);
   const ListedHost* host = directory_.find(end.endpoint);
-  if (end.wait > 0 && host != nullptr) {
+  if (end.retry_after > 0 && host != nullptr) {
     Time& until = waits_[lane_of(host->member)];
-    until = std::max(until, steady_now() + end.wait);
+    until = std::max(until, steady_now() + end.retry_after);
   }
   if (fleet_ && host != nullptr) fleet_->ended(host->member.destination, end.outcome, steady_now());
   if (held != held_.end()) {
@@ -509,7 +510,7 @@
       AttemptEnded moot;
       moot.id = send->id;
       moot.endpoint = send->endpoint;
-      moot.outcome = Outcome::kMoot;
+      moot.outcome = Outcome::kNotStarted;
       moot.final = held == held_.end();  // given back in this very turn for want of room
       if (!moot.final) moot.attempt = held->second.attempts++;
       return happened(std::move(moot));
@@ -539,13 +540,13 @@
     if (host == nullptr) return happened(ProbeEnded{probe->endpoint, false, 0, {}});
     ++out_[probe->endpoint];
     upstream_.probe(probe->endpoint, host->address);
-  } else if (const auto* close = std::get_if<CloseIdle>(&action)) {
+  } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
     upstream_.close_idle(close->endpoint);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
     wake_ = timer->at;  // only the newest counts: it is set anew in each step that needs one
-  } else if (const auto* memory = std::get_if<Remember>(&action)) {
-    remember(memory->memory);
-    if (fleet_) fleet_->remember(memory->memory);
+  } else if (const auto* memory = std::get_if<SaveDestinationState>(&action)) {
+    remember(memory->state);
+    if (fleet_) fleet_->remember(memory->state);
   } else if (const auto* log = std::get_if<Log>(&action)) {
     std::fprintf(stderr, "%s\n", log->text.c_str());
   }
@@ -604,7 +605,7 @@
   if (stopping_since_ != 0) return;
   stopping_since_ = steady_now();
   if (fleet_) fleet_->leaving();
-  happened(Closing{stopping_since_ + kLastCall});
+  happened(ShutdownScheduled{stopping_since_ + kLastCall});
   wait_for_end();
 }
 
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -66,7 +66,7 @@
   void recall();
   void open();
   void resume();
-  void remember(const DestinationMemory& memory);
+  void remember(const DestinationState& memory);
   void remember_host(const ListedHost& host);
   void forget_gone(const Endpoint& endpoint);
   int class_of(const std::string& name) const;
--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -192,7 +192,7 @@
     }
     if (start == StartDecision::kNo) {
       idle_ = true;
-      return finish(Outcome::kMoot);
+      return finish(Outcome::kNotStarted);
     }
     sent_ = Sent::kPart;
     request_.version(11);
@@ -284,7 +284,7 @@
   void spoilt() {
     final_ = delivered_;
     if (parser_ && parser_->is_header_done() && parser_->get().result_int() == 429) told_to_wait();
-    finish(delivered_ ? Outcome::kOk : Outcome::kSpoilt);
+    finish(delivered_ ? Outcome::kOk : Outcome::kMalformed);
   }
 
   void told_to_wait() { wait_ = parse_wait(view(parser_->get()[http::field::retry_after])); }
@@ -299,18 +299,18 @@
         return finish(Outcome::kOk);
       case 410:
         final_ = true;
-        return finish(Outcome::kMoot);
+        return finish(Outcome::kNotStarted);
       case 429:
         told_to_wait();
-        return finish(Outcome::kFull);
+        return finish(Outcome::kRefused);
       case 503:
-        if (view(answer["X-Egress-Full"]) == "1") return finish(Outcome::kMoot);
+        if (view(answer["X-Egress-Full"]) == "1") return finish(Outcome::kNotStarted);
         // Turned away and hung up on at once, on a new connection: the host holds all that it takes. Where it
         // is over a limit or its queue is full, the connection stays.
         crowded_ = fresh_ && !parser_->keep_alive();
-        return finish(Outcome::kFull);
+        return finish(Outcome::kRefused);
       case 504:
-        return finish(Outcome::kMoot);
+        return finish(Outcome::kNotStarted);
       default:
         return finish(Outcome::kError);
     }
@@ -340,9 +340,9 @@
     out.endpoint = call_.endpoint;
     out.outcome = outcome;
     out.final = final_;
-    out.took = took;
-    out.wait = wait_;
-    out.crowded = crowded_;
+    out.duration = took;
+    out.retry_after = wait_;
+    out.connection_limit_reached = crowded_;
     out.report = std::move(report_);
     owner_->ended_(out, sent_ != Sent::kNothing);
   }
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -34,8 +34,8 @@
     Time idle_timeout = 0;         // a host closes a connection that has been idle for so long
     size_t max_connections = 256;  // connections, with a call on them or idle
   };
-  // Asked right before a call's first byte: a call that may no longer start ends as kMoot, one that may not
-  // yet is asked for again by `retry_deferred`.
+  // Asked right before a call's first byte: a call that may no longer start ends as kNotStarted, one that may
+  // not yet is asked for again by `retry_deferred`.
   enum class StartDecision { kYes, kNo, kLater };
   using MayStart = std::function<StartDecision(const Call&)>;
   using MayProbe = std::function<bool(const Endpoint&)>;                         // the same of a probe
--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -41,7 +41,7 @@
         pending.erase(item.instance);
         guarded(item.instance, reply, [&] {
           policies_.erase(item.instance);
-          policies_.emplace(item.instance, Policy(parse_settings(start->facts), start->seed));
+          policies_.emplace(item.instance, Policy(parse_settings(start->settings), start->seed));
         });
         pending[item.instance];
       } else {
@@ -53,7 +53,7 @@
       if (policy == policies_.end()) continue;
       std::vector<Action> actions;
       guarded(instance, reply, [&] { policy->second.step(now, list, actions); });
-      reply.actions(instance, actions);
+      reply.add_actions(instance, actions);
     }
     return reply.frame();
   }
@@ -64,7 +64,7 @@
     try {
       run();
     } catch (const std::exception& error) {
-      reply.panic(instance, error.what());
+      reply.add_panic(instance, error.what());
     }
   }
 
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -75,7 +75,7 @@
   Member out;
   const uint8_t state = in.u8("readiness");
   if (state > 2) in.fail("unknown readiness");
-  out.listing = state == 1 ? Listing::kReady : state == 2 ? Listing::kDraining : Listing::kGone;
+  out.state = state == 1 ? HostState::kReady : state == 2 ? HostState::kDraining : HostState::kRemoved;
   out.zone = in.u8("area");
   out.weight = in.f32("power_hint");
   if (!std::isfinite(out.weight)) out.weight = 0;
@@ -103,8 +103,8 @@
 
 Outcome to_outcome(Reader& in) {
   constexpr Outcome kByCode[] = {
-      Outcome::kError,         Outcome::kOk,    Outcome::kFull,      Outcome::kTimeout,
-      Outcome::kConnectFailed, Outcome::kReset, Outcome::kCancelled, Outcome::kMoot};
+      Outcome::kError,         Outcome::kOk,    Outcome::kRefused,   Outcome::kTimeout,
+      Outcome::kConnectFailed, Outcome::kReset, Outcome::kCancelled, Outcome::kNotStarted};
   const uint8_t code = in.u8("state_code");
   if (code >= std::size(kByCode)) in.fail("unknown state_code");
   return kByCode[code];
@@ -114,11 +114,11 @@
   AttemptEnded out;
   out.id = in.u64("op_id");
   out.endpoint = in.endpoint();
-  out.took = in.time("took_s");
+  out.duration = in.time("took_s");
   out.outcome = to_outcome(in);
   out.final = in.u8("final") != 0;
   const uint32_t note = in.u32("note");
-  if (out.outcome == Outcome::kFull) out.wait = Time{note} * 1000;
+  if (out.outcome == Outcome::kRefused) out.retry_after = Time{note} * 1000;
   out.attempt = in.u8("hop");
   out.report = in.report();
   return out;
@@ -128,13 +128,13 @@
   ProbeEnded out;
   out.endpoint = in.endpoint();
   out.ok = to_outcome(in) == Outcome::kOk;
-  out.took = in.time("took_s");
+  out.duration = in.time("took_s");
   out.report = in.report();
   return out;
 }
 
-PeerNote read_note(Reader& in) {
-  PeerNote out;
+PeerMessage read_note(Reader& in) {
+  PeerMessage out;
   out.from = in.u16("by");
   const uint16_t count = in.u16("octets");
   out.bytes = in.raw(count, "octets");
@@ -191,7 +191,7 @@
     put<uint8_t>(out, 13);
     put_endpoint(out, a.endpoint);
   }
-  void operator()(const CloseIdle& a) const {
+  void operator()(const CloseIdleConnections& a) const {
     put<uint8_t>(out, 1);
     put_endpoint(out, a.endpoint);
   }
@@ -204,12 +204,12 @@
     put<uint8_t>(out, 8);
     put<uint8_t>(out, 1);
   }
-  void operator()(const TellPeers& a) const {
+  void operator()(const NotifyPeers& a) const {
     put<uint8_t>(out, 11);
     put<uint16_t>(out, 0xffff);
     put_text(out, a.bytes);
   }
-  void operator()(const Remember&) const {}
+  void operator()(const SaveDestinationState&) const {}
   void operator()(const Log& a) const {
     put<uint8_t>(out, 10);
     put_text(out, a.text);
@@ -244,7 +244,7 @@
         PowerOn event;
         event.seed = in.u64("prng");
         const uint32_t count = in.u32("facts");
-        event.facts = in.raw(count, "facts");
+        event.settings = in.raw(count, "facts");
         add(std::move(event));
         break;
       }
@@ -318,18 +318,18 @@
   ++records_;
 }
 
-void Encoder::actions(int instance, std::span<const Action> actions) {
-  const auto kept = [](const Action& action) { return std::holds_alternative<Remember>(action); };
+void Encoder::add_actions(int instance, std::span<const Action> actions) {
+  const auto kept = [](const Action& action) { return std::holds_alternative<SaveDestinationState>(action); };
   if (std::all_of(actions.begin(), actions.end(), kept)) return;
   speaking(instance);
   for (const Action& action : actions) {
-    if (std::holds_alternative<Remember>(action)) continue;  // nothing outlasts a simulated relay
+    if (std::holds_alternative<SaveDestinationState>(action)) continue;  // nothing outlasts a simulated relay
     std::visit(ActionWriter{body_}, action);
     ++records_;
   }
 }
 
-void Encoder::panic(int instance, std::string_view text) {
+void Encoder::add_panic(int instance, std::string_view text) {
   speaking(instance);
   put<uint8_t>(body_, 6);
   put_text(body_, text);
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -23,7 +23,7 @@
 
 struct PowerOn {
   uint64_t seed = 0;
-  std::string facts;
+  std::string settings;
 };
 
 struct Kill {};
@@ -55,8 +55,8 @@
 // Builds one reply.
 class Encoder {
  public:
-  void actions(int instance, std::span<const Action> actions);
-  void panic(int instance, std::string_view text);
+  void add_actions(int instance, std::span<const Action> actions);
+  void add_panic(int instance, std::string_view text);
   std::string frame() const;
 
  private:
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -47,7 +47,7 @@
     if (e.form == MembersChanged::Form::kFailed) {
       watching_ = false;
       watch_at_ = now_ + watch_pause_;
-      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, set_.ask_every / 2));
+      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, set_.list_request_interval / 2));
       return;
     }
     if (watching_) watch_pause_ = kSecond / 4;
@@ -68,10 +68,10 @@
       }
       host.member = m;
       host.lane = &lane_of(m);
-      host.ready = m.listing == Listing::kReady;
-      host.gone = m.listing == Listing::kGone;
+      host.ready = m.state == HostState::kReady;
+      host.gone = m.state == HostState::kRemoved;
       if (host.gone) leaving_.insert(m.endpoint);
-      if (m.listing == Listing::kDraining) absolve(*host.lane, m.endpoint);
+      if (m.state == HostState::kDraining) absolve(*host.lane, m.endpoint);
       by_destination_[m.destination][m.endpoint] = &host;
       Destination& d = destinations_[m.destination];
       d.kind = m.kind;
@@ -112,9 +112,9 @@
     m.worth = c.worth * tenant_share(e.tenant, e.due - c.give_up);
     m.attempts = e.attempts;
     m.repeat = e.attempts > 0;
-    m.ran = m.resumed_ran = e.ran;
-    m.ran_sent = e.ran_sent;
-    m.ran_zone = e.ran_zone;
+    m.ran = m.resumed_ran = e.maybe_executed;
+    m.ran_sent = e.maybe_executed_sent;
+    m.ran_zone = e.maybe_executed_zone;
     if (c.in_order && e.key != 0) turns_[e.key].push_back(e.id);
   }
 
@@ -128,7 +128,7 @@
     Pacer& pacer = it->second;
     if (fresh) pacer = {2 * quota, std::min(handed, now_)};
     pacer.refill(std::clamp(handed, pacer.at, now_), quota, std::max(1.0, 2 * quota));
-    if (pacer.tokens < 1) return set_.over_share_worth;
+    if (pacer.tokens < 1) return set_.over_quota_worth;
     pacer.tokens -= 1;
     return 1;
   }
@@ -143,51 +143,51 @@
   void fold(const TimerFired& e) {
     if (static_cast<Time>(e.token) == armed_) armed_ = kNever;
   }
-  void fold(const PeerNote&) {}
-  void fold(const DestinationMemory& e) {
+  void fold(const PeerMessage&) {}
+  void fold(const DestinationState& e) {
     Destination& d = destinations_[e.destination];
-    d.tokens = std::clamp(e.tokens, 0, kBucketCap);
+    d.tokens = std::clamp(e.retry_tokens, 0, kBucketCap);
     d.remembered = e;
-    if (e.out_since == 0 && e.pace <= 0) return;
+    if (e.outage_start == 0 && e.pacing_rate <= 0) return;
     const LaneKey key = {e.destination, Endpoint{}};
     Lane& l = lanes_[key];
     l.key = key;
     // Without it all that was held for the pace would go in the first moment of a restart. No less than the
     // even part of the told limit: the refusals may be over, and a rare caller would hear of that only much
     // later.
-    if (e.pace > 0) {
-      l.pace = l.paced = l.unhindered = std::max(e.pace, l.limit / set_.relays);
+    if (e.pacing_rate > 0) {
+      l.pace = l.paced = l.unhindered = std::max(e.pacing_rate, l.limit / set_.relays);
       l.pacer = {0.5 - seconds(random_.between(0, kSecond)), now_};
     }
-    if (e.out_since == 0) return;
-    l.out_since = e.out_since;
-    l.back_since = e.back_since;
-    l.base = e.base;
+    if (e.outage_start == 0) return;
+    l.out_since = e.outage_start;
+    l.back_since = e.recovery_start;
+    l.base = e.baseline_rate;
     l.cold = {0, now_};
     watch(l);
   }
-  void fold(const Closing& e) { closing_ = e.at; }
-  void fold(const Scouting& e) {
+  void fold(const ShutdownScheduled& e) { closing_ = e.at; }
+  void fold(const TrialAssignment& e) {
     const auto it = lanes_.find({e.destination, Endpoint{}});
     if (it == lanes_.end()) return;
-    it->second.scouts_by = e.by;
-    it->second.shared = it->second.shared || e.by != Scouting::By::kAll;
+    it->second.scouts_by = e.duty;
+    it->second.shared = it->second.shared || e.duty != TrialAssignment::Duty::kShared;
   }
   // Another relay's scout was served after this outage began: it is over here too. And an outage is taken
   // over by a relay that was served nothing since: it would have to find out at the destination's cost.
-  void fold(const SeenElsewhere& e) {
+  void fold(const PeerHealthReport& e) {
     const auto it = lanes_.find({e.destination, Endpoint{}});
-    if (it == lanes_.end() || e.out_since == 0) return;
+    if (it == lanes_.end() || e.outage_start == 0) return;
     Lane& l = it->second;
-    if (l.out_since == 0 && l.served.at < e.out_since &&
-        (e.back_since == 0 || now_ - e.back_since < set_.cold)) {
+    if (l.out_since == 0 && l.served.at < e.outage_start &&
+        (e.recovery_start == 0 || now_ - e.recovery_start < set_.slow_start)) {
       watch(l);
       go_out(l, "as another relay saw", false);
-      l.out_since = e.out_since;
-      l.base = std::max(l.base, e.base);
+      l.out_since = e.outage_start;
+      l.base = std::max(l.base, e.baseline_rate);
     }
-    if (l.out_since == 0 || l.back_since != 0 || e.back_since <= l.out_since) return;
-    l.back_since = e.back_since;
+    if (l.out_since == 0 || l.back_since != 0 || e.recovery_start <= l.out_since) return;
+    l.back_since = e.recovery_start;
     l.suspected = false;
     log(l, "back, cold, as another relay saw");
   }
@@ -225,13 +225,13 @@
     const bool hanging =
         e.outcome == Outcome::kTimeout || e.outcome == Outcome::kReset || e.outcome == Outcome::kCancelled;
     if (set_.classes[m.in.message_class].in_order && hanging) {
-      key_rests_[m.in.key] = {now_ + set_.order_pause, e.id};
+      key_rests_[m.in.key] = {now_ + set_.in_order_pause, e.id};
     }
     if (e.final || m.withdrawn) return end(e.id);
-    if (e.outcome == Outcome::kMoot) return;
+    if (e.outcome == Outcome::kNotStarted) return;
     m.repeat = true;
     m.not_before = now_ + random_.between(kPauseLeast, kPauseMost);
-    const bool unseen = e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed;
+    const bool unseen = e.outcome == Outcome::kRefused || e.outcome == Outcome::kConnectFailed;
     if (unseen || m.ran) return;
     m.ran = true;
     m.ran_sent = attempt.sent;
@@ -244,17 +244,17 @@
     learn_idle(e, attempt, kinds_[d.kind], l);
     // Slow or lost: whether calls past the suspicious age are served after all.
     if (e.outcome == Outcome::kOk || e.outcome == Outcome::kTimeout) {
-      const bool overdue = e.took > latency_of(d).suspicious();
+      const bool overdue = e.duration > latency_of(d).suspicious();
       if (overdue) hope_ += 2 * kGain * ((e.outcome == Outcome::kOk ? 1 : 0) - hope_);
     }
     switch (e.outcome) {
       case Outcome::kOk:
         d.tokens = std::min(kBucketCap, d.tokens + 1);
         d.served.add(now_);
-        host.latency.add(seconds(e.took));
-        kinds_[d.kind].latency.add(seconds(e.took));
-        learn_latency(d, e.took);
-        if (d.usual.seen == 0 || e.took < micros(4 * d.usual.mean)) d.usual.add(seconds(e.took));
+        host.latency.add(seconds(e.duration));
+        kinds_[d.kind].latency.add(seconds(e.duration));
+        learn_latency(d, e.duration);
+        if (d.usual.seen == 0 || e.duration < micros(4 * d.usual.mean)) d.usual.add(seconds(e.duration));
         // It took no connection and serves all the same: its table was full. One that is down serves nothing.
         if (host.unconnected_at != 0 && attempt.sent < host.unconnected_at + kFullSpan) {
           kinds_[d.kind].unconnected += kGain * (1 - kinds_[d.kind].unconnected);
@@ -263,12 +263,12 @@
         host.fails = 0;
         host.avoid_until = 0;
         return served(attempt, l);
-      case Outcome::kFull:
+      case Outcome::kRefused:
         heed_wait(e, l);
-        if (e.crowded) return crowded(d.kind);
+        if (e.connection_limit_reached) return crowded(d.kind);
         if (!host.ready) return;  // it may turn away whatever comes
         narrow(attempt, l);
-        return unserved(attempt, l, false, e.wait > 0);
+        return unserved(attempt, l, false, e.retry_after > 0);
       case Outcome::kError:
       case Outcome::kReset:
       case Outcome::kTimeout:
@@ -276,23 +276,23 @@
         // Lost answers are no sign of slowness: a time-out teaches only where overdue calls are served after
         // all.
         if (e.outcome == Outcome::kTimeout && hope_ > kHopeLeast && l.last_served_sent < attempt.sent) {
-          learn_latency(d, e.took);
+          learn_latency(d, e.duration);
         }
         if (e.outcome == Outcome::kConnectFailed && host.unconnected_at == 0) host.unconnected_at = now_;
         if (e.outcome != Outcome::kError) avoid(host);
         return unserved(attempt, l, true, false);
-      case Outcome::kSpoilt:  // spoilt answers come from any host alike: no sign of its health
+      case Outcome::kMalformed:  // spoilt answers come from any host alike: no sign of its health
         return heed_wait(e, l);
       case Outcome::kCancelled:
-      case Outcome::kMoot:
+      case Outcome::kNotStarted:
         return;
     }
   }
 
   // At the end of a wait all relays that were told come back: the random pause keeps them out of step.
   void heed_wait(const AttemptEnded& e, Lane& l) {
-    if (e.wait <= 0) return;
-    l.wait_until = std::max(l.wait_until, now_ + e.wait + set_.tick + random_.between(0, kPauseMost));
+    if (e.retry_after <= 0) return;
+    l.wait_until = std::max(l.wait_until, now_ + e.retry_after + set_.tick + random_.between(0, kPauseMost));
   }
 
   std::optional<double> reported(const std::vector<float>& report, int index) const {
@@ -303,10 +303,11 @@
 
   // A limit nearly used up makes its route dearer, so that routes with limits of their own are used evenly.
   void heed_report(const AttemptEnded& e, Lane& l) {
-    const double limit = reported(e.report, set_.report_limit).value_or(0);
+    const double limit = reported(e.report, set_.report_limit_index).value_or(0);
     if (limit > 0) l.limit = limit;
-    if (e.outcome != Outcome::kOk && e.outcome != Outcome::kFull) return;
-    const double served = limit > 0 ? std::min(1.0, reported(e.report, set_.report_left).value_or(1)) : 1;
+    if (e.outcome != Outcome::kOk && e.outcome != Outcome::kRefused) return;
+    const double served =
+        limit > 0 ? std::min(1.0, reported(e.report, set_.report_remaining_index).value_or(1)) : 1;
     l.room += 2 * kGain * ((e.outcome == Outcome::kOk ? served : 0) - l.room);
   }
 
@@ -326,11 +327,11 @@
   // The age up to which an idle connection is used.
   Time keep() const {
     const double grown = seconds(keep_) * std::exp2(seconds(now_ - keep_at_) / seconds(kKeepRegain));
-    return std::min(set_.conn_idle, micros(grown));
+    return std::min(set_.conn_idle_timeout, micros(grown));
   }
 
   void close_idle(Host& host) {
-    out_->push_back(CloseIdle{host.member.endpoint});
+    out_->push_back(CloseIdleConnections{host.member.endpoint});
     host.conns = 0;
   }
 
@@ -348,7 +349,7 @@
       stale_ -= kGain * stale_;
     } else if (attempt.idle == 0 && (broken || e.outcome == Outcome::kOk)) {
       lost_ += kGain * ((broken ? 1 : 0) - lost_);
-      if (!broken && e.took <= kSlowLeast) blame_idle(attempt, l);
+      if (!broken && e.duration <= kSlowLeast) blame_idle(attempt, l);
       std::erase_if(l.doubted, [&](const Doubt& doubt) { return doubt.sent <= attempt.sent; });
     } else if (e.outcome == Outcome::kConnectFailed) {
       l.doubted.clear();  // it was the destination
@@ -481,7 +482,7 @@
       }
       ++it;
       if (l.out_since != 0) {
-        if (l.back_since != 0 && now_ - l.back_since >= set_.cold) {
+        if (l.back_since != 0 && now_ - l.back_since >= set_.slow_start) {
           log(l, "warm");
           l.out_since = 0;
         }
@@ -503,7 +504,8 @@
   // ---- Guards ----
 
   Lane& lane_of(const Member& m) {
-    const bool apart = m.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[m.kind].apart;
+    const bool apart =
+        m.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[m.kind].independent_endpoints;
     const LaneKey key = {m.destination, apart ? m.endpoint : Endpoint{}};
     Lane& l = lanes_[key];
     l.key = key;
@@ -557,17 +559,17 @@
   // An outage that rests on suspicion alone is not worth keeping.
   void remember() {
     for (auto& [number, d] : destinations_) {
-      DestinationMemory next{number, d.tokens - d.tokens % kToken};
+      DestinationState next{number, d.tokens - d.tokens % kToken};
       const auto lane = lanes_.find({number, Endpoint{}});
-      if (lane != lanes_.end()) next.pace = in_steps(lane->second.pace);
+      if (lane != lanes_.end()) next.pacing_rate = in_steps(lane->second.pace);
       if (lane != lanes_.end() && lane->second.out_since != 0 && !lane->second.suspected) {
-        next.out_since = lane->second.out_since;
-        next.back_since = lane->second.back_since;
-        next.base = lane->second.base;
+        next.outage_start = lane->second.out_since;
+        next.recovery_start = lane->second.back_since;
+        next.baseline_rate = lane->second.base;
       }
       if (next == d.remembered) continue;
       d.remembered = next;
-      out_->push_back(Remember{next});
+      out_->push_back(SaveDestinationState{next});
     }
   }
 
@@ -580,10 +582,10 @@
 
   // Own part of what a cold destination takes, beside the first calls of the relays that know of no outage.
   double cold_rate(const Lane& l) const {
-    const double warm = set_.cold <= 0 ? 0 : seconds(now_ - l.back_since) / seconds(set_.cold);
+    const double warm = set_.slow_start <= 0 ? 0 : seconds(now_ - l.back_since) / seconds(set_.slow_start);
     const double capacity = set_.start_capacity + (1 - set_.start_capacity) * std::clamp(warm, 0.0, 1.0);
     const double know = knowing(l);
-    return l.base * std::max(0.0, kColdMargin * set_.fall_multiple * capacity - (1 - know)) / know;
+    return l.base * std::max(0.0, kColdMargin * set_.overload_factor * capacity - (1 - know)) / know;
   }
 
   // The most scouts a second of all relays together. They are calls like any other once it is back, so within
@@ -591,9 +593,9 @@
   // few relays hold a token each, surely; where many do, by four deviations of a count that is close to
   // Poisson.
   double most_scouts(const Lane& l) const {
-    const double window = seconds(set_.fall_window);
+    const double window = seconds(set_.overload_window);
     if (window <= 0) return std::numeric_limits<double>::infinity();
-    const double budget = set_.fall_multiple * set_.start_capacity * l.base * set_.relays * window;
+    const double budget = set_.overload_factor * set_.start_capacity * l.base * set_.relays * window;
     const double allowed = budget + kChanceRoots * std::sqrt(budget) + kChanceCalls;
     const double root = std::sqrt(4 + allowed) - 2;
     return std::max(root * root, allowed - set_.relays) / window;
@@ -601,7 +603,7 @@
 
   // Own part of the fleet's scouts. The relays that hold messages for the lane share them.
   double scout_rate(const Lane& l) const {
-    if (l.scouts_by == Scouting::By::kSelf) return kScoutLeast;  // what it finds is told to all
+    if (l.scouts_by == TrialAssignment::Duty::kSelf) return kScoutLeast;  // what it finds is told to all
     const double wanted = std::max(kScoutPart * l.base, kScoutLeast / set_.relays);
     return std::min(wanted, most_scouts(l) / set_.relays) / knowing(l);
   }
@@ -611,7 +613,7 @@
     if (l.wait_until > now_) return l.wait_until;
     if (l.out_since != 0) {
       // Without an answer to the last scout another tells little, and would fill the slots.
-      if (l.back_since == 0 && (l.scouts > 0 || l.scouts_by == Scouting::By::kOther)) return kNever;
+      if (l.back_since == 0 && (l.scouts > 0 || l.scouts_by == TrialAssignment::Duty::kOther)) return kNever;
       const double rate = l.back_since == 0 ? scout_rate(l) : cold_rate(l);
       l.cold.refill(now_, rate, 1);
       if (l.cold.tokens < 1) return std::min(l.cold.ready(now_, rate), now_ + kSecond);
@@ -749,7 +751,8 @@
     if (at <= m.target) return m.worth;
     if (at >= m.in.due) return 0;
     const double late = seconds(at - m.target);
-    if (set_.late_by_halves) return m.worth * std::max(c.late_worth, std::exp2(-late / seconds(c.target)));
+    if (set_.exponential_late_worth)
+      return m.worth * std::max(c.late_worth, std::exp2(-late / seconds(c.target)));
     return m.worth * (1 - (1 - c.late_worth) * late / std::max(1e-6, seconds(m.in.due - m.target)));
   }
 
@@ -851,14 +854,14 @@
   }
 
   int batch_of(const Member& m) const {
-    return m.kind < static_cast<int>(set_.kinds.size()) ? set_.kinds[m.kind].batch : 1;
+    return m.kind < static_cast<int>(set_.kinds.size()) ? set_.kinds[m.kind].max_batch : 1;
   }
 
   // A keyed message that may have run stays with the endpoints that remember its key.
   bool in_scope(const Message& m, const Host& host) const {
     const ClassSettings& c = set_.classes[m.in.message_class];
     if (!m.ran || c.effect != Effect::kKeyed) return true;
-    if (c.key_scope == KeyScope::kCell) return host.member.destination == m.in.destination;
+    if (c.key_scope == KeyScope::kDestination) return host.member.destination == m.in.destination;
     return c.key_scope == KeyScope::kAll || host.member.zone == m.ran_zone;
   }
 
@@ -938,7 +941,7 @@
   // ---- The list and the timer ----
 
   void keep_watching() {
-    if (!set_.ask_for_list || watching_) return;
+    if (!set_.list_requires_watch || watching_) return;
     if (now_ < watch_at_) return wake(watch_at_);
     out_->push_back(WatchList{});
     watching_ = true;
--- a/src/policy_parts.h
+++ b/src/policy_parts.h
@@ -207,7 +207,7 @@
   bool suspected = false;   // the outage rests on overdue calls alone
   Time back_since = 0;      // first served call after the outage; 0: still out
   double base = 0;          // own served rate before it
-  Scouting::By scouts_by = Scouting::By::kAll;
+  TrialAssignment::Duty scouts_by = TrialAssignment::Duty::kShared;
   bool shared = false;  // all relays know of the outage
   Pacer cold;
   int scouts = 0;                                            // out now
@@ -245,7 +245,7 @@
   int kind = 0;
   int tokens = kBucketCap;  // in parts
   int calls = 0;
-  DestinationMemory remembered{0, kBucketCap};
+  DestinationState remembered{0, kBucketCap};
   Rate served;
   Latency usual;  // the pace without outliers, against which the slot share narrows
   Latency latency;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -114,7 +114,9 @@
     out.effect = Effect::kKeyed;
     const std::string scope = facts.text(at + "key_scope");
     if (scope != "all" && scope != "zone" && scope != "cell") Facts::unreadable(at + "key_scope");
-    out.key_scope = scope == "all" ? KeyScope::kAll : scope == "zone" ? KeyScope::kZone : KeyScope::kCell;
+    out.key_scope = scope == "all"    ? KeyScope::kAll
+                    : scope == "zone" ? KeyScope::kZone
+                                      : KeyScope::kDestination;
     out.key_window = facts.time(at + "key_ttl_s");
   } else if (effect != "unsafe") {
     Facts::unreadable(at + "semantics");
@@ -134,10 +136,11 @@
     KindSettings kind;
     kind.name = name;
     const size_t index = out.kinds.size();
-    if (index < apart.size()) kind.apart = Facts::parse_flag("family_info.kind_apart", apart[index]);
+    if (index < apart.size())
+      kind.independent_endpoints = Facts::parse_flag("family_info.kind_apart", apart[index]);
     if (index < batch.size()) {
       if (batch[index] < 1 || batch[index] > kMostEntries) Facts::unreadable("family_info.kind_batch");
-      kind.batch = static_cast<int>(batch[index]);
+      kind.max_batch = static_cast<int>(batch[index]);
     }
     out.kinds.push_back(kind);
   }
@@ -155,8 +158,8 @@
 void parse_report(const Facts& facts, Settings& out) {
   const auto fields = facts.list("telemetry.fields");
   for (size_t i = 0; i < fields.size(); ++i) {
-    if (fields[i] == "x0") out.report_left = static_cast<int>(i);
-    if (fields[i] == "x1") out.report_limit = static_cast<int>(i);
+    if (fields[i] == "x0") out.report_remaining_index = static_cast<int>(i);
+    if (fields[i] == "x1") out.report_limit_index = static_cast<int>(i);
   }
 }
 
@@ -193,27 +196,27 @@
   out.max_attempts = facts.integer("bounds.max_attempts", 1);
   out.streams_per_conn = facts.integer("bounds.streams_per_conn", 1, 1);
   out.may_probe = facts.flag("bounds.may_probe", false);
-  out.may_tell_peers = facts.flag("bounds.peers", false);
+  out.may_notify_peers = facts.flag("bounds.peers", false);
   out.may_cancel = facts.flag("bounds.cancel", false);
-  out.ask_for_list = facts.text("discovery", "push") == "ask";
-  out.retry_after_heard = facts.flag("bounds.retry_after", false);
-  out.late_by_halves = facts.text("family_info.late", "line") == "halves";
+  out.list_requires_watch = facts.text("discovery", "push") == "ask";
+  out.clients_get_retry_after = facts.flag("bounds.retry_after", false);
+  out.exponential_late_worth = facts.text("family_info.late", "line") == "halves";
   const std::string weights = facts.text("weights", "silent");
   out.weights = weights == "nominal" ? Weights::kNominal
                 : weights == "rough" ? Weights::kRough
                                      : Weights::kNone;
-  out.over_share_worth = facts.within("over_share_worth", 0, 1, 1.0);
+  out.over_quota_worth = facts.within("over_share_worth", 0, 1, 1.0);
   out.tick = facts.time("resolution_s", 0);
-  out.conn_idle = facts.time("bounds.conn_idle_s", 0);
+  out.conn_idle_timeout = facts.time("bounds.conn_idle_s", 0);
   out.connect_timeout = facts.time("bounds.connect_timeout_s", 0);
   out.max_retry_after = facts.time("bounds.max_retry_after_s", 0);
-  out.answer_slack = facts.time("obligations.answer_slack_s", 0);
+  out.reply_slack = facts.time("obligations.answer_slack_s", 0);
   out.drain_grace = facts.time("obligations.stop_sending_within_s", 0);
-  out.ask_every = facts.time("obligations.ask_every_s", 0);
-  out.order_pause = facts.time("obligations.order_pause_s", 0);
-  out.cold = facts.time("obligations.cold_s", 0);
-  out.fall_window = facts.time("obligations.fall_s", 0);
-  out.fall_multiple = facts.within("obligations.fall_multiple", 0, 1e6, 1.0);
+  out.list_request_interval = facts.time("obligations.ask_every_s", 0);
+  out.in_order_pause = facts.time("obligations.order_pause_s", 0);
+  out.slow_start = facts.time("obligations.cold_s", 0);
+  out.overload_window = facts.time("obligations.fall_s", 0);
+  out.overload_factor = facts.within("obligations.fall_multiple", 0, 1e6, 1.0);
   out.start_capacity = facts.within("obligations.start_capacity", 0, 1, 1.0);
   return out;
 }
--- a/tests/elsewhere_test.cpp
+++ b/tests/elsewhere_test.cpp
@@ -55,15 +55,15 @@
 
 TEST(Elsewhere, WhileAnotherRelayScoutsThisOneSendsNothing) {
   Out out;
-  out.events.push_back(Scouting{1, Scouting::By::kOther});
+  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
   EXPECT_EQ(out.calls(10), 0);
-  out.events.push_back(Scouting{1, Scouting::By::kAll});
+  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kShared});
   EXPECT_GT(out.calls(10), 0);
 }
 
 TEST(Elsewhere, TheOneThatScoutsForAllSendsTheWholeFleetsLeast) {
   Out alone, owner;
-  owner.events.push_back(Scouting{1, Scouting::By::kSelf});
+  owner.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kSelf});
   const int shared = alone.calls(10), all = owner.calls(10);
   EXPECT_GT(all, shared);
   EXPECT_LE(all, 17);  // 1.5 a second, and what was saved up
@@ -71,16 +71,16 @@
 
 TEST(Elsewhere, AnOutageEndsWhereAnotherRelaysScoutWasServed) {
   Out out;
-  out.events.push_back(Scouting{1, Scouting::By::kOther});
+  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
   EXPECT_EQ(out.calls(3), 0);
-  out.events.push_back(SeenElsewhere{1, out.now - 4 * kSecond, out.now, 5});
+  out.events.push_back(PeerHealthReport{1, out.now - 4 * kSecond, out.now, 5});
   EXPECT_GT(out.calls(15), 0);  // a rare caller's part of a cold destination is small
 }
 
 TEST(Elsewhere, AReturnFromBeforeTheOwnOutageTellsNothing) {
   Out out;
-  out.events.push_back(Scouting{1, Scouting::By::kOther});
-  out.events.push_back(SeenElsewhere{1, 1, 2, 5});
+  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
+  out.events.push_back(PeerHealthReport{1, 1, 2, 5});
   EXPECT_EQ(out.calls(3), 0);
 }
 
@@ -97,7 +97,7 @@
       relay.step(now + 10'000, {ended(sends[0], 0, Outcome::kOk)});
     }
     now = 11 * kSecond;
-    relay.step(now, {SeenElsewhere{1, 9 * kSecond, 0, 5}});
+    relay.step(now, {PeerHealthReport{1, 9 * kSecond, 0, 5}});
     std::vector<Event> some;
     for (uint64_t id = 10; id < 14; ++id) some.push_back(relay.message(id, now));
     EXPECT_EQ(all_of<Send>(relay.step(now, some)).size(), served ? 4U : 0U);
--- a/tests/emulator/cold_test.cpp
+++ b/tests/emulator/cold_test.cpp
@@ -21,21 +21,22 @@
 // time; some are killed and come back around it with their folders. What comes over N and twice the root of N
 // and two is no chance any more, and counts where those sent two thirds of it that had seen it fail.
 TEST_P(ColdBudget, IsKeptByTheRelaysThatSawItFailTogether) {
-  Tally all;
+  DestinationCounts all;
   for (uint64_t seed = 1; seed <= plays(); ++seed) {
-    Fleet fleet(cold_day(GetParam(), seed));
+    FleetEmulator fleet(random_outage_model(GetParam(), seed));
     fleet.run();
-    const Tally t = fleet.total();
-    EXPECT_EQ(t.falls_knowing, 0) << "seed " << seed << ": " << t.worst_excess << " roots over the budget";
+    const DestinationCounts t = fleet.total();
+    EXPECT_EQ(t.overloads_informed, 0)
+        << "seed " << seed << ": " << t.max_overload_excess << " roots over the budget";
     EXPECT_EQ(t.offered, t.delivered + t.refused + t.failed) << "seed " << seed;
     all += t;
   }
-  EXPECT_GT(all.down, 0);
-  RecordProperty("falls", static_cast<int>(all.falls));
+  EXPECT_GT(all.connect_failures, 0);
+  RecordProperty("falls", static_cast<int>(all.overloads));
 }
 
-Tally played(int relays, uint64_t seed) {
-  Fleet fleet(cold_day(relays, seed));
+DestinationCounts played(int relays, uint64_t seed) {
+  FleetEmulator fleet(random_outage_model(relays, seed));
   fleet.run();
   return fleet.total();
 }
@@ -43,14 +44,14 @@
 // Of 3,000 days those on which the budget was passed before. Twelve scouts came in 2.3 s, of relays that each
 // sent their even part of 1.5 a second, where N for that time was 4.0.
 TEST(ColdBudgetOf, AFleetsScoutsIsKeptWhereTheDestinationIsSmall) {
-  EXPECT_EQ(played(20, 345).falls_knowing, 0);
+  EXPECT_EQ(played(20, 345).overloads_informed, 0);
 }
 
 // Two relays that were killed with six messages each, which their pace had held back, sent all at once. The
 // second day fell too, and does not with the pace kept alone.
 TEST(ColdBudgetOf, RelaysThatComeBackWithWhatTheirPaceHeldIsKept) {
-  EXPECT_EQ(played(20, 483).falls_knowing, 0);
-  EXPECT_EQ(played(30, 268).falls_knowing, 0);
+  EXPECT_EQ(played(20, 483).overloads_informed, 0);
+  EXPECT_EQ(played(30, 268).overloads_informed, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Relays, ColdBudget, ::testing::Values(3, 20, 30),
--- a/tests/emulator/days_test.cpp
+++ b/tests/emulator/days_test.cpp
@@ -10,49 +10,49 @@
 namespace {
 
 FleetModel small(const std::string& day, int relays, uint64_t seed) {
-  FleetModel model = play_of(day, relays, seed);
+  FleetModel model = day_model(day, relays, seed);
   model.destinations.resize(3);
   return model;
 }
 
-Tally played(const std::string& day, int relays, int seeds = 2) {
-  Tally all;
+DestinationCounts played(const std::string& day, int relays, int seeds = 2) {
+  DestinationCounts all;
   for (int seed = 1; seed <= seeds; ++seed) {
-    Fleet fleet(small(day, relays, static_cast<uint64_t>(seed)));
+    FleetEmulator fleet(small(day, relays, static_cast<uint64_t>(seed)));
     fleet.run();
     all += fleet.total();
   }
   EXPECT_EQ(all.offered, all.delivered + all.refused + all.failed) << day << ", " << relays << " relays";
-  EXPECT_EQ(all.doubled, 0);
+  EXPECT_EQ(all.forbidden_repeats, 0);
   return all;
 }
 
 double part(int64_t some, int64_t of) { return static_cast<double>(some) / static_cast<double>(of); }
-double in_time(const Tally& t) { return part(t.in_time, t.offered); }
+double in_time(const DestinationCounts& t) { return part(t.in_time, t.offered); }
 
 // In time without the cut below the own rate 0.43 and 0.39 with 100 and 300 relays, without the quick regain
 // 0.47 and 0.46, on a fall of 6 s.
 TEST(FleetDays, ALimitThatFallsToAThirdAndReturns) {
   const std::map<int, double> least = {{3, 0.8}, {100, 0.5}, {300, 0.4}};
   for (const auto& [relays, share] : least) {
-    const Tally t = played("limit-falls", relays);
+    const DestinationCounts t = played("limit-falls", relays);
     EXPECT_GT(in_time(t), share) << relays << " relays";
-    EXPECT_LT(part(t.full, t.delivered), 0.35) << relays << " relays";
+    EXPECT_LT(part(t.other_refusals, t.delivered), 0.35) << relays << " relays";
   }
 }
 
 // Heeding a wait is not enough: at its end all who were told come back. Without the cut on told waits 0.28 in
 // time, and four calls at the limit for each served one.
 TEST(FleetDays, AToldWaitThatAllRelaysWereToldInTheSameMillisecond) {
-  const Tally t = played("clump", 100);
+  const DestinationCounts t = played("clump", 100);
   EXPECT_GT(in_time(t), 0.65);
-  EXPECT_LT(part(t.full, t.delivered), 0.2);
+  EXPECT_LT(part(t.other_refusals, t.delivered), 0.2);
 }
 
 TEST(FleetDays, ALimitBelowTheNumberOfRelays) {
-  const Tally t = played("over-limit", 300, 1);  // 30 calls a second
+  const DestinationCounts t = played("over-limit", 300, 1);  // 30 calls a second
   EXPECT_GT(part(t.delivered, t.offered), 0.65);
-  EXPECT_LT(part(t.full, t.delivered), 0.8);
+  EXPECT_LT(part(t.other_refusals, t.delivered), 0.8);
 }
 
 TEST(FleetDays, RelaysThatAskAHundredTimesAsOftenAsOthers) {
@@ -60,42 +60,42 @@
 }
 
 TEST(FleetDays, HalfTheDestinationsOutAndBackColdWithHeldMessagesWaiting) {
-  const Tally t = played("half-out", 100);
+  const DestinationCounts t = played("half-out", 100);
   EXPECT_GT(part(t.delivered, t.offered), 0.9);
-  EXPECT_LT(t.worst_knowing, 2);
+  EXPECT_LT(t.max_slow_start_load_informed, 2);
 }
 
 TEST(FleetDays, SevenInTenRelaysKilledInOneSecondResumeWhatTheyHeld) {
-  const Tally t = played("herd", 100);
+  const DestinationCounts t = played("herd", 100);
   EXPECT_GT(in_time(t), 0.93);
   EXPECT_LT(part(t.calls, t.offered), 1.1);
 }
 
 TEST(FleetDays, RefusalsAtALimitWhileAHostIsReallyDown) {
-  const Tally t = played("limit-falls-down", 100);
+  const DestinationCounts t = played("limit-falls-down", 100);
   EXPECT_GT(in_time(t), 0.65);
-  EXPECT_LT(t.worst_knowing, 2);
+  EXPECT_LT(t.max_slow_start_load_informed, 2);
 }
 
 TEST(FleetDays, AFullTableWhileALimitBinds) {
-  const Tally t = played("limit-falls-small-tables", 100);
+  const DestinationCounts t = played("limit-falls-small-tables", 100);
   EXPECT_GT(in_time(t), 0.45);
-  EXPECT_LT(part(t.crowded, t.delivered), 0.45);
+  EXPECT_LT(part(t.connection_limit_refusals, t.delivered), 0.45);
 }
 
 // What a day could have come to bounds what three relays make of it: else the model or the bound is wrong.
 TEST(FleetDays, EachDayStaysUnderItsTop) {
   for (const std::string day : {"limit-falls", "clump", "out-cold"}) {
-    const Bounds bound = bounds(play_of(day, 3, 1));
-    EXPECT_LE(bound.floor, bound.top) << day;
-    EXPECT_LT(in_time(played(day, 3, 1)), bound.top + 0.03) << day;
+    const ScoreBounds bound = score_bounds(day_model(day, 3, 1));
+    EXPECT_LE(bound.lower, bound.upper) << day;
+    EXPECT_LT(in_time(played(day, 3, 1)), bound.upper + 0.03) << day;
   }
 }
 
 TEST(FleetDays, BadInputIsOneLineThatSaysWhatWasExpected) {
   const auto said = [](const std::string& name, int relays) -> std::string {
     try {
-      play_of(name, relays, 1);
+      day_model(name, relays, 1);
     } catch (const std::invalid_argument& error) {
       return error.what();
     }
--- a/tests/emulator/fleet_test.cpp
+++ b/tests/emulator/fleet_test.cpp
@@ -15,16 +15,16 @@
 // Ten destinations of a kind, each with a host or two that holds few connections.
 FleetModel small_tables(int relays, uint64_t seed) {
   FleetModel model;
-  model.settings = usual_settings(relays);
+  model.settings = typical_settings(relays);
   model.seed = seed;
   for (int i = 0; i < 10; ++i) {
     DestinationModel d;
     d.number = i;
     d.hosts = {{static_cast<uint32_t>(1 + i), 80}};
-    d.service = 100'000;
-    d.places = 8;
-    d.queue = 16;
-    d.connections = 24;
+    d.service_time = 100'000;
+    d.concurrency = 8;
+    d.max_queued = 16;
+    d.max_connections = 24;
     d.weight = 80;
     d.load = 45;
     model.destinations.push_back(d);
@@ -35,11 +35,11 @@
 double part(int64_t some, int64_t all) { return static_cast<double>(some) / static_cast<double>(all); }
 
 // Each message has its one end, none ran where its class forbids, and no drain was passed over.
-void expect_whole(const Tally& t, uint64_t seed) {
+void expect_whole(const DestinationCounts& t, uint64_t seed) {
   EXPECT_GT(t.offered, 0) << "seed " << seed;
   EXPECT_EQ(t.offered, t.delivered + t.refused + t.failed) << "seed " << seed;
-  EXPECT_EQ(t.doubled, 0) << "seed " << seed;
-  EXPECT_EQ(t.drained, 0) << "seed " << seed;
+  EXPECT_EQ(t.forbidden_repeats, 0) << "seed " << seed;
+  EXPECT_EQ(t.calls_after_drain, 0) << "seed " << seed;
 }
 
 // Of 300 relays: one in twenty has five times the mean, and half have almost none.
@@ -53,10 +53,10 @@
 FleetModel limited(double rate, uint64_t seed) {
   FleetModel model = small_tables(300, seed);
   for (DestinationModel& d : model.destinations) {
-    d.connections = 0;
-    d.rate = rate;
-    d.told_share = 0.5;
-    d.wait = kSecond / 2;
+    d.max_connections = 0;
+    d.rate_limit = rate;
+    d.retry_after_share = 0.5;
+    d.retry_after = kSecond / 2;
   }
   return model;
 }
@@ -65,11 +65,11 @@
 TEST(FleetConnections, IdleOnesOfAllRelaysDoNotFillASmallTable) {
   for (const uint64_t seed : {1, 2}) {
     const FleetModel model = small_tables(300, seed);
-    Fleet fleet(model);
+    FleetEmulator fleet(model);
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     EXPECT_GT(part(all.in_time, all.offered), 0.95) << "seed " << seed;
-    EXPECT_LT(part(all.crowded, all.calls), 0.25) << "seed " << seed;
+    EXPECT_LT(part(all.connection_limit_refusals, all.calls), 0.25) << "seed " << seed;
   }
 }
 
@@ -78,21 +78,21 @@
 TEST(FleetConnections, ABurstOfHandshakesAtSmallTablesIsOverWhenItEnds) {
   for (const uint64_t seed : {1, 2}) {
     const FleetModel model = small_tables(300, seed);
-    Fleet fleet(model);
-    Tally before;
-    Tally during;
+    FleetEmulator fleet(model);
+    DestinationCounts before;
+    DestinationCounts during;
     for (const auto& [when, factor] : {std::pair(10 * kSecond, 1.5), std::pair(15 * kSecond, 1 / 1.5)}) {
-      fleet.at(when, [&fleet, factor = factor] {
+      fleet.schedule(when, [&fleet, factor = factor] {
         for (int i = 0; i < 10; ++i) fleet.destination(i).load *= factor;
       });
     }
-    fleet.at(10 * kSecond, [&] { before = fleet.total(); });
-    fleet.at(18 * kSecond, [&] { during = fleet.total(); });
+    fleet.schedule(10 * kSecond, [&] { before = fleet.total(); });
+    fleet.schedule(18 * kSecond, [&] { during = fleet.total(); });
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     expect_whole(all, seed);
     EXPECT_GT(part(all.in_time, all.offered), 0.9) << "seed " << seed;
-    EXPECT_GT(during.crowded - before.crowded, 0) << "seed " << seed;
+    EXPECT_GT(during.connection_limit_refusals - before.connection_limit_refusals, 0) << "seed " << seed;
     // Calls for each message after the burst, and before it.
     EXPECT_LT(part(all.calls - during.calls, all.offered - during.offered),
               1.1 * part(before.calls, before.offered))
@@ -103,32 +103,32 @@
 // The same hosts and three relays: the few idle connections do no harm, and are kept.
 TEST(FleetConnections, FewRelaysKeepTheirs) {
   const FleetModel model = small_tables(3, 1);
-  Fleet fleet(model);
+  FleetEmulator fleet(model);
   fleet.run();
-  const Tally all = fleet.total();
+  const DestinationCounts all = fleet.total();
   EXPECT_GT(part(all.in_time, all.offered), 0.95);
-  EXPECT_LT(part(all.fresh, all.calls), 0.2);
+  EXPECT_LT(part(all.new_connections, all.calls), 0.2);
 }
 
 // Two hosts of which a rare caller knows nothing: all relays together use both.
 TEST(FleetChoice, RareCallersSpreadOverTheHostsOfADestination) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model;
-    model.settings = usual_settings(300);
+    model.settings = typical_settings(300);
     model.seed = seed;
     DestinationModel d;
     d.number = 1;
     d.hosts = {{1, 80}, {2, 80}};
-    d.places = 1;
-    d.queue = 2;
+    d.concurrency = 1;
+    d.max_queued = 2;
     d.weight = 20;
     d.load = 10;  // half of what both can do
     model.destinations.push_back(d);
-    Fleet fleet(model);
+    FleetEmulator fleet(model);
     fleet.run();
-    const Tally& t = fleet.tally(1);
+    const DestinationCounts& t = fleet.counts(1);
     EXPECT_GT(part(t.in_time, t.offered), 0.9) << "seed " << seed;
-    EXPECT_LT(part(t.full, t.calls), 0.1) << "seed " << seed;
+    EXPECT_LT(part(t.other_refusals, t.calls), 0.1) << "seed " << seed;
   }
 }
 
@@ -138,12 +138,12 @@
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = small_tables(300, seed);
     for (DestinationModel& d : model.destinations) {
-      d.connections = 8;
+      d.max_connections = 8;
       d.load = 90;
     }
-    Fleet fleet(model);
+    FleetEmulator fleet(model);
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     EXPECT_GT(all.refused, 0) << "seed " << seed;
     EXPECT_LT(part(all.refused_late, all.refused), 0.2) << "seed " << seed;
   }
@@ -153,7 +153,7 @@
 class Checked {
  public:
   explicit Checked(FleetModel& model) {
-    model.watch = [this, settings = model.settings](size_t relay, Time now, auto events, auto actions) {
+    model.on_step = [this, settings = model.settings](size_t relay, Time now, auto events, auto actions) {
       auto& checker = checkers_.try_emplace(relay, settings).first->second;
       checker.before(now, events);
       checker.after(now, actions);
@@ -172,14 +172,14 @@
 // One destination is out for 8 s, and comes back cold.
 FleetModel outage(double load, uint64_t seed) {
   FleetModel model;
-  model.settings = usual_settings(300);
+  model.settings = typical_settings(300);
   model.seed = seed;
-  model.length = 60 * kSecond;
+  model.duration = 60 * kSecond;
   DestinationModel d;
   d.number = 1;
   d.hosts = {{1, 80}, {2, 80}};
-  d.places = std::max(1, static_cast<int>(load / 10));  // twice what is asked for
-  d.queue = 2 * d.places;
+  d.concurrency = std::max(1, static_cast<int>(load / 10));  // twice what is asked for
+  d.max_queued = 2 * d.concurrency;
   d.weight = 2 * load;
   d.load = load;
   d.down_from = 20 * kSecond;
@@ -193,13 +193,13 @@
 TEST(FleetOutage, ADestinationThatEachRelayCallsOnceAMinuteIsNotPushedOver) {
   for (const uint64_t seed : {1, 2, 3}) {
     const FleetModel model = outage(5, seed);
-    Fleet fleet(model);
+    FleetEmulator fleet(model);
     fleet.run();
-    const Tally& t = fleet.tally(1);
-    EXPECT_LT(t.worst_cold, model.settings.fall_multiple) << "seed " << seed;
+    const DestinationCounts& t = fleet.counts(1);
+    EXPECT_LT(t.max_slow_start_load, model.settings.overload_factor) << "seed " << seed;
     expect_whole(t, seed);
     // 40 messages come while it is out, and each may be tried a few times before its relay knows.
-    EXPECT_LT(t.down + t.probes, 40 * 6) << "seed " << seed;
+    EXPECT_LT(t.connect_failures + t.probes, 40 * 6) << "seed " << seed;
     EXPECT_GT(part(t.delivered, t.offered), 0.8) << "seed " << seed;
   }
 }
@@ -208,11 +208,11 @@
 TEST(FleetOutage, RelaysThatSawItFailKeepToTheColdBudgetTogether) {
   for (const uint64_t seed : {1, 2, 3}) {
     const FleetModel model = outage(100, seed);
-    Fleet fleet(model);
+    FleetEmulator fleet(model);
     fleet.run();
-    const Tally& t = fleet.tally(1);
-    EXPECT_GT(t.worst_knowing, 0) << "seed " << seed;
-    EXPECT_LT(t.worst_knowing, model.settings.fall_multiple) << "seed " << seed;
+    const DestinationCounts& t = fleet.counts(1);
+    EXPECT_GT(t.max_slow_start_load_informed, 0) << "seed " << seed;
+    EXPECT_LT(t.max_slow_start_load_informed, model.settings.overload_factor) << "seed " << seed;
     expect_whole(t, seed);
   }
 }
@@ -223,14 +223,14 @@
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     FleetModel model = outage(20, seed);
     DestinationModel& d = model.destinations[0];
-    d.places = 1;
-    d.queue = 2;
+    d.concurrency = 1;
+    d.max_queued = 2;
     d.weight = 24;
-    model.shares = uneven();
-    Fleet fleet(model);
+    model.traffic_shares = uneven();
+    FleetEmulator fleet(model);
     fleet.run();
-    const Tally& t = fleet.tally(1);
-    EXPECT_LT(t.worst_knowing, model.settings.fall_multiple) << "seed " << seed;
+    const DestinationCounts& t = fleet.counts(1);
+    EXPECT_LT(t.max_slow_start_load_informed, model.settings.overload_factor) << "seed " << seed;
     expect_whole(t, seed);
   }
 }
@@ -239,19 +239,19 @@
 TEST(FleetRestart, AKilledHerdThatComesBackTogetherIsServed) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = small_tables(300, seed);
-    for (DestinationModel& d : model.destinations) d.connections = 0;
-    Fleet fleet(model);
+    for (DestinationModel& d : model.destinations) d.max_connections = 0;
+    FleetEmulator fleet(model);
     const auto herd = [&](Time killed, size_t first, size_t count) {
       for (size_t i = 0; i < count; ++i) {
         const Time back =
             killed + 600'000 + static_cast<Time>(kSecond * static_cast<Time>(i) / static_cast<Time>(count));
-        fleet.at(killed, [&fleet, i, first, back] { fleet.kill(first + i, back); });
+        fleet.schedule(killed, [&fleet, i, first, back] { fleet.kill(first + i, back); });
       }
     };
     herd(12 * kSecond, 0, 210);
     herd(25 * kSecond, 100, 90);
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     expect_whole(all, seed);
     EXPECT_GT(part(all.in_time, all.offered), 0.95) << "seed " << seed;
   }
@@ -261,10 +261,10 @@
 TEST(FleetShares, UnevenTrafficIsServedAsEvenIs) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = limited(50, seed);
-    model.shares = uneven();
-    Fleet fleet(model);
+    model.traffic_shares = uneven();
+    FleetEmulator fleet(model);
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     EXPECT_GT(part(all.in_time, all.offered), 0.9) << "seed " << seed;
   }
 }
@@ -274,12 +274,12 @@
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = limited(60, seed);
     const Checked checked(model);  // told waits are heeded by each
-    Fleet fleet(model);
-    fleet.at(8 * kSecond, [&fleet] {
-      for (int i = 0; i < 10; ++i) fleet.destination(i).rate = 30;
+    FleetEmulator fleet(model);
+    fleet.schedule(8 * kSecond, [&fleet] {
+      for (int i = 0; i < 10; ++i) fleet.destination(i).rate_limit = 30;
     });
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     // What it could take: 8 s of all that came, then two thirds.
     EXPECT_GT(part(all.delivered, all.offered), 0.7) << "seed " << seed;
     EXPECT_LT(part(all.calls, all.offered), 1.4) << "seed " << seed;
@@ -295,7 +295,7 @@
   model.settings.classes[0].key_window = 15 * kSecond;
   model.settings.classes[1].effect = firspool::Effect::kUnsafe;
   for (DestinationModel& d : model.destinations) {
-    d.connections = 0;
+    d.max_connections = 0;
     d.message_class = d.number % 2;
   }
   return model;
@@ -308,29 +308,29 @@
     FleetModel model = mixed(seed);
     for (DestinationModel& d : model.destinations) {
       if (d.number < 3) {
-        d.silent_from = 10 * kSecond;
-        d.silent_to = 16 * kSecond;
+        d.unresponsive_from = 10 * kSecond;
+        d.unresponsive_to = 16 * kSecond;
       }
       if (d.number == 4 || d.number == 5) d.reset_share = 0.05;
       if (d.number == 6) d.hosts.push_back({77, 80});
     }
     const Checked checked(model);
-    Fleet fleet(model);
-    fleet.at(11 * kSecond, [&fleet] {
+    FleetEmulator fleet(model);
+    fleet.schedule(11 * kSecond, [&fleet] {
       firspool::Member leaving;
       leaving.endpoint = {77, 80};
       leaving.destination = 6;
-      leaving.listing = firspool::Listing::kDraining;
-      fleet.tell({leaving}, 5 * kSecond);
-      leaving.listing = firspool::Listing::kGone;
-      fleet.at(20 * kSecond, [&fleet, leaving] { fleet.tell({leaving}, 5 * kSecond); });
+      leaving.state = firspool::HostState::kDraining;
+      fleet.update_members({leaving}, 5 * kSecond);
+      leaving.state = firspool::HostState::kRemoved;
+      fleet.schedule(20 * kSecond, [&fleet, leaving] { fleet.update_members({leaving}, 5 * kSecond); });
     });
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     expect_whole(all, seed);
     EXPECT_GT(all.failed, 0) << "seed " << seed;  // unsafe ones that may have run
     for (int i = 6; i < 10; ++i) {                // nobody else pays for it
-      const Tally& t = fleet.tally(i);
+      const DestinationCounts& t = fleet.counts(i);
       EXPECT_GT(part(t.in_time, t.offered), 0.97) << "seed " << seed;
     }
   }
@@ -340,20 +340,20 @@
 TEST(FleetRoll, ARollingRestartWhileHostsAreReplacedLosesAndDoublesNothing) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = mixed(seed);
-    model.length = 40 * kSecond;
-    Fleet fleet(model);
+    model.duration = 40 * kSecond;
+    FleetEmulator fleet(model);
     for (size_t i = 0; i < 300; ++i) {
       const Time start = 5 * kSecond + static_cast<Time>(i / 30) * 3 * kSecond;
-      fleet.at(start, [&fleet, i, start] {
+      fleet.schedule(start, [&fleet, i, start] {
         if (i % 2 == 0) {
           fleet.kill(i, start + 600'000);
         } else {
-          fleet.end(i, start + 3700'000, start + 4300'000);
+          fleet.shut_down(i, start + 3700'000, start + 4300'000);
         }
       });
     }
     for (int n = 0; n < 10; ++n) {
-      fleet.at(8 * kSecond + n * 2 * kSecond, [&fleet, n] {
+      fleet.schedule(8 * kSecond + n * 2 * kSecond, [&fleet, n] {
         firspool::Member old;
         old.endpoint = {static_cast<uint32_t>(1 + n), 80};
         old.destination = n;
@@ -361,12 +361,12 @@
         firspool::Member next = old;
         next.endpoint.address += 100;
         fleet.destination(n).hosts.push_back(next.endpoint);
-        old.listing = firspool::Listing::kDraining;
-        fleet.tell({next, old}, kSecond);
+        old.state = firspool::HostState::kDraining;
+        fleet.update_members({next, old}, kSecond);
       });
     }
     fleet.run();
-    const Tally all = fleet.total();
+    const DestinationCounts all = fleet.total();
     expect_whole(all, seed);
     EXPECT_GT(part(all.in_time, all.offered), 0.95) << "seed " << seed;
   }
--- a/tests/emulator/soak_test.cpp
+++ b/tests/emulator/soak_test.cpp
@@ -38,12 +38,12 @@
 using namespace firspool;
 
 TEST(FleetSoak, FortyFiveMinutesOfHostsAndMessagesLeaveNothingBehind) {
-  Settings s = usual_settings(300);
+  Settings s = typical_settings(300);
   s.classes.push_back(s.classes[0]);
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].key_window = 15 * kSecond;
   s.classes[1].effect = Effect::kUnsafe;
-  s.kinds[1].apart = true;
+  s.kinds[1].independent_endpoints = true;
 
   Policy policy(s, 1);
   std::mt19937_64 random(1);
@@ -75,7 +75,7 @@
     if (now % (5 * kSecond) == 0 && now > 0) {  // one host is replaced
       const size_t which = random() % list.size();
       Member gone = list[which];
-      gone.listing = Listing::kGone;
+      gone.state = HostState::kRemoved;
       list[which].endpoint.address += 1000;
       events.push_back(MembersChanged{MembersChanged::Form::kDelta,
                                       std::make_shared<std::vector<Member>>(std::vector{gone, list[which]})});
@@ -104,14 +104,15 @@
         o.end.id = send->id;
         o.end.attempt = attempts[send->id]++;
         o.end.endpoint = send->endpoint;
-        constexpr Outcome kBad[] = {Outcome::kFull, Outcome::kTimeout, Outcome::kReset,
+        constexpr Outcome kBad[] = {Outcome::kRefused, Outcome::kTimeout, Outcome::kReset,
                                     Outcome::kConnectFailed, Outcome::kError};
         const uint64_t draw = random() % 40;
         o.end.outcome = draw < std::size(kBad) ? kBad[draw] : Outcome::kOk;
-        o.end.crowded = o.end.outcome == Outcome::kFull && random() % 2 == 0;
-        o.end.wait = o.end.outcome == Outcome::kFull && !o.end.crowded ? kSecond / 2 : 0;
+        o.end.connection_limit_reached = o.end.outcome == Outcome::kRefused && random() % 2 == 0;
+        o.end.retry_after =
+            o.end.outcome == Outcome::kRefused && !o.end.connection_limit_reached ? kSecond / 2 : 0;
         o.end.final = o.end.outcome == Outcome::kOk;
-        o.end.took = 100'000;
+        o.end.duration = 100'000;
         o.at = now + 100'000;
         out.push_back(o);
       } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
--- a/tests/members/ask_pace_test.cpp
+++ b/tests/members/ask_pace_test.cpp
@@ -11,7 +11,7 @@
 namespace umberhoist::members {
 namespace {
 
-using emulator::Overbooked;
+using emulator::OverloadedDirectory;
 
 constexpr Time kSecond = 1'000'000;
 constexpr Time kEvery = 10 * kSecond;
@@ -24,7 +24,7 @@
 
 // Relays of a fleet of so many that start in one moment with the lists they kept.
 Told start_at_once(int starting, WatchScheduleOptions settings, double asks_per_s, uint64_t seed) {
-  Overbooked directory(asks_per_s, 2 * kSecond, 2);
+  OverloadedDirectory directory(asks_per_s, 2 * kSecond, 2);
   std::vector<WatchScheduler> paces;
   std::priority_queue<std::pair<Time, int>, std::vector<std::pair<Time, int>>, std::greater<>> due;
   for (int i = 0; i < starting; ++i) {
@@ -36,7 +36,7 @@
     const auto [now, relay] = due.top();
     due.pop();
     ++out.asks;
-    const Overbooked::Answer answer = directory.ask(now);
+    const OverloadedDirectory::Reply answer = directory.request(now);
     if (answer.served) {
       out.by_20_s += answer.at <= 20 * kSecond;
       ++out.by_60_s;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -94,8 +94,9 @@
 // A rare caller earns a tenth of a token in minutes: what waits for one is given back, with its client still
 // in time to go elsewhere. Where calls are served often it waits, as a token is near.
 TEST(RetryBucket, ARepeatThatEarnsNoTokenInItsTimeIsGivenBack) {
-  for (const auto& [often, outcome] : {std::pair(false, Outcome::kFull), std::pair(true, Outcome::kFull),
-                                       std::pair(false, Outcome::kError)}) {
+  for (const auto& [often, outcome] :
+       {std::pair(false, Outcome::kRefused), std::pair(true, Outcome::kRefused),
+        std::pair(false, Outcome::kError)}) {
     Settings s = plain_settings();
     s.max_attempts = 30;
     const MembersChanged list = unguarded(s);
@@ -114,7 +115,7 @@
       std::vector<Event> events;
       for (const Send& send : sends) {
         AttemptEnded end = ended(send, attempt++, outcome);
-        end.crowded = outcome == Outcome::kFull;
+        end.connection_limit_reached = outcome == Outcome::kRefused;
         events.push_back(end);
       }
       const auto actions = relay.step(now += 10'000, events);
@@ -162,7 +163,7 @@
 TEST(Promises, MessagesOfAKeyGoInTurn) {
   Settings s = plain_settings();
   s.classes[0].in_order = true;
-  s.order_pause = kSecond;
+  s.in_order_pause = kSecond;
   Relay relay(s);
   Arrival a = relay.message(1, 0);
   Arrival b = relay.message(2, 0);
@@ -200,7 +201,7 @@
   Relay relay(plain_settings());
   const auto first = all_of<Send>(relay.step(0, {members({member(1), member(2)}), relay.message(1, 0)}));
   relay.step(100'000,
-             {ended(first.at(0), 0, Outcome::kFull, 100'000, 2 * kSecond), relay.message(2, 100'000)});
+             {ended(first.at(0), 0, Outcome::kRefused, 100'000, 2 * kSecond), relay.message(2, 100'000)});
   EXPECT_TRUE(all_of<Send>(relay.idle(110'000, 2'000'000)).empty());
   EXPECT_FALSE(all_of<Send>(relay.idle(2'010'000, 4 * kSecond)).empty());
 }
@@ -209,7 +210,7 @@
   Relay relay(plain_settings());
   const auto first =
       all_of<Send>(relay.step(0, {members({member(1, 1, 1), member(2, 1, 1)}), relay.message(1, 0)}));
-  relay.step(100'000, {ended(first.at(0), 0, Outcome::kFull, 100'000, 5 * kSecond)});
+  relay.step(100'000, {ended(first.at(0), 0, Outcome::kRefused, 100'000, 5 * kSecond)});
   const auto again = all_of<Send>(relay.idle(110'000, kSecond));
   ASSERT_EQ(again.size(), 1u);
   EXPECT_NE(again[0].endpoint, first[0].endpoint);
@@ -218,7 +219,7 @@
 TEST(Drains, NothingNewGoesToADrainingEndpoint) {
   Relay relay(plain_settings());
   relay.step(0, {members({member(1), member(2)})});
-  relay.step(10'000, {members({member(1, 1, 0, Listing::kDraining)}, MembersChanged::Form::kDelta)});
+  relay.step(10'000, {members({member(1, 1, 0, HostState::kDraining)}, MembersChanged::Form::kDelta)});
   for (uint64_t id = 1; id <= 5; ++id) {
     const Time now = static_cast<Time>(id) * 50'000;
     const auto sends = all_of<Send>(relay.step(now, {relay.message(id, now)}));
@@ -246,7 +247,7 @@
 
 TEST(Batches, MessagesToOneEndpointShareACall) {
   Settings s = plain_settings();
-  s.kinds[0].batch = 5;
+  s.kinds[0].max_batch = 5;
   s.slots = 1;
   Relay relay(s);
   std::vector<Event> events = {members({member(1)})};
@@ -276,7 +277,7 @@
   s.max_open = 20;
   s.slots = 1;
   s.tenants = {{"steady", 2}, {"flood", 1}};
-  s.over_share_worth = 0.2;
+  s.over_quota_worth = 0.2;
   Relay relay(s);
   std::vector<Event> events = {members({member(1)})};
   const Time now = 100 * kSecond;
@@ -342,7 +343,7 @@
   }
   ASSERT_FALSE(sent_after_return.empty());
   for (const Time from : sent_after_return) {
-    const double warm = static_cast<double>(from + 3 * kSecond - back) / static_cast<double>(s.cold);
+    const double warm = static_cast<double>(from + 3 * kSecond - back) / static_cast<double>(s.slow_start);
     const double budget =
         2 * (0.25 + 0.75 * std::min(1.0, warm)) * 10 * 3;  // of its own part, ten a second at most
     const auto in_window = std::count_if(sent_after_return.begin(), sent_after_return.end(),
@@ -373,14 +374,14 @@
       for (const Log& line : all_of<Log>(actions)) out |= line.text.find("outage") != std::string::npos;
       for (const Send& send : all_of<Send>(actions)) {
         met.insert(send.endpoint.address);
-        const Outcome outcome = other_failed ? Outcome::kConnectFailed : Outcome::kFull;
+        const Outcome outcome = other_failed ? Outcome::kConnectFailed : Outcome::kRefused;
         events.push_back(ended(send, attempts[send.id]++, outcome));
       }
     }
     relay.step(now, events);
     ASSERT_TRUE(out);
     ASSERT_EQ(met.size(), other_failed ? 2u : 1u);
-    const std::vector<Member> list = {member(1, 1, 0, Listing::kDraining), member(3)};
+    const std::vector<Member> list = {member(1, 1, 0, HostState::kDraining), member(3)};
     auto sends = all_of<Send>(relay.step(now + 500'000, {members(list, MembersChanged::Form::kDelta)}));
     if (other_failed) {
       EXPECT_LE(sends.size(), 1u);  // a scout
@@ -409,11 +410,11 @@
       for (const Send& send : sends) events.push_back(ended(send, attempts[send.id]++, outcome));
     }
   };
-  play(kSecond, Outcome::kFull);  // a limit
+  play(kSecond, Outcome::kRefused);  // a limit
   play(3 * kSecond, Outcome::kOk);
   play(kSecond, Outcome::kConnectFailed);  // the host is gone, and the list has yet to say so
   relay.step(now, events);
-  const std::vector<Member> list = {member(1, 1, 0, Listing::kGone), member(3)};
+  const std::vector<Member> list = {member(1, 1, 0, HostState::kRemoved), member(3)};
   const auto sends = all_of<Send>(relay.step(now + kSecond, {members(list, MembersChanged::Form::kDelta)}));
   EXPECT_GE(sends.size(), 1u);
   EXPECT_LE(sends.size(), 4u);  // some thirty wait
@@ -556,7 +557,7 @@
   };
   const int served = count(kSecond, Outcome::kOk);
   EXPECT_EQ(served, 80);  // until a refusal nothing is held back
-  EXPECT_LT(count(40 * kSecond, Outcome::kFull), served / 2);
+  EXPECT_LT(count(40 * kSecond, Outcome::kRefused), served / 2);
 }
 
 // Counts the attempts of a relay, fresh at the start, that calls a dead destination every so often for some
@@ -623,7 +624,7 @@
   Relay relay(s);
   const auto first = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(1, 0)}));
   ASSERT_EQ(first.size(), 1u);
-  relay.step(50'000, {ended(first[0], 0, Outcome::kFull, 50'000, 5000'000), relay.message(2, 50'000)});
+  relay.step(50'000, {ended(first[0], 0, Outcome::kRefused, 50'000, 5000'000), relay.message(2, 50'000)});
   EXPECT_TRUE(all_of<Send>(relay.idle(60'000, 6 * kSecond)).empty());
   EXPECT_FALSE(all_of<Send>(relay.idle(6 * kSecond, 19 * kSecond)).empty());  // warm before the messages end
 }
@@ -642,7 +643,7 @@
     const auto actions = relay.step(now, {relay.message(++id, now)});
     const auto sends = all_of<Send>(actions);
     ASSERT_EQ(sends.size(), 1u);
-    closed = !all_of<CloseIdle>(actions).empty();
+    closed = !all_of<CloseIdleConnections>(actions).empty();
     relay.step(now + 500'000, {ended(sends[0], 0, closed ? Outcome::kOk : Outcome::kReset, 500'000)});
     now += 5 * kSecond;
     for (const Send& again : all_of<Send>(relay.step(now, {}))) {
@@ -678,7 +679,7 @@
       return true;
     });
     for (const Action& action : relay.step(now, events)) {
-      if (std::holds_alternative<CloseIdle>(action)) ++closed;
+      if (std::holds_alternative<CloseIdleConnections>(action)) ++closed;
       const auto* send = std::get_if<Send>(&action);
       if (send == nullptr) continue;
       const bool lost = hangs && send->endpoint != list[4].endpoint;
@@ -706,7 +707,7 @@
   for (Time now = kSecond; now < 8 * kSecond; now += 100'000) {
     const auto actions = relay.step(now, events);
     events.clear();
-    closed += static_cast<int>(all_of<CloseIdle>(actions).size());
+    closed += static_cast<int>(all_of<CloseIdleConnections>(actions).size());
     for (const Send& send : all_of<Send>(actions)) {
       events.push_back(ended(send, attempt++, now < 4 * kSecond ? Outcome::kConnectFailed : Outcome::kOk));
     }
@@ -716,7 +717,7 @@
   const auto sends = all_of<Send>(relay.step(now, {relay.message(++id, now, 0, 2)}));
   ASSERT_EQ(sends.size(), 1u);
   closed += static_cast<int>(
-      all_of<CloseIdle>(relay.step(now + 100'000, {ended(sends[0], 0, Outcome::kOk)})).size());
+      all_of<CloseIdleConnections>(relay.step(now + 100'000, {ended(sends[0], 0, Outcome::kOk)})).size());
   EXPECT_EQ(closed, 0);
 }
 
@@ -726,13 +727,15 @@
   uint64_t id = 0;
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(++id, 0)}));
   ASSERT_EQ(sends.size(), 1u);
-  EXPECT_TRUE(all_of<CloseIdle>(relay.step(100'000, {ended(sends[0], 0, Outcome::kOk)})).empty());
+  EXPECT_TRUE(all_of<CloseIdleConnections>(relay.step(100'000, {ended(sends[0], 0, Outcome::kOk)})).empty());
   const auto failing = all_of<Send>(relay.step(kSecond, {relay.message(++id, kSecond)}));
   ASSERT_EQ(failing.size(), 1u);
   relay.step(kSecond + 10'000, {ended(failing[0], 0, Outcome::kConnectFailed)});
   const auto again = all_of<Send>(relay.step(kSecond + 400'000, {}));
   ASSERT_EQ(again.size(), 1u);
-  EXPECT_EQ(all_of<CloseIdle>(relay.step(kSecond + 500'000, {ended(again[0], 1, Outcome::kOk)})).size(), 1u);
+  EXPECT_EQ(
+      all_of<CloseIdleConnections>(relay.step(kSecond + 500'000, {ended(again[0], 1, Outcome::kOk)})).size(),
+      1u);
 }
 
 // An unsafe call keeps no slot for its whole life: lost answers would fill the slots one by one.
@@ -749,8 +752,8 @@
 
 TEST(List, AskingIsRenewedAfterAFailure) {
   Settings s = plain_settings();
-  s.ask_for_list = true;
-  s.ask_every = 10 * kSecond;
+  s.list_requires_watch = true;
+  s.list_request_interval = 10 * kSecond;
   Relay relay(s);
   EXPECT_EQ(all_of<WatchList>(relay.step(0, {members({member(1)})})).size(), 1u);
   MembersChanged failed;
@@ -770,8 +773,8 @@
   in.destination = 1;
   in.due = 100 * kSecond + s.classes[message_class].give_up / 2;
   in.attempts = attempts;
-  in.ran = ran;
-  in.ran_sent = 100 * kSecond - since;
+  in.maybe_executed = ran;
+  in.maybe_executed_sent = 100 * kSecond - since;
   std::vector<Action> actions;
   policy.step(100 * kSecond, std::vector<Event>{members({member(1)}), in}, actions);
   return actions;
@@ -804,7 +807,7 @@
 // Without it a restarted relay would send all that it resumed at once to a destination that is down or cold.
 TEST(Restart, OutagesAndBucketsAreRemembered) {
   const Settings s = plain_settings();
-  DestinationMemory last;
+  DestinationState last;
   Policy before(s, 1);
   std::vector<Action> actions;
   before.step(0, std::vector<Event>{members({member(1)})}, actions);
@@ -816,9 +819,9 @@
     std::vector<Event> failed;
     for (const Send& send : all_of<Send>(actions)) failed.push_back(ended(send, 0, Outcome::kConnectFailed));
     before.step(now + 1000, failed, actions);
-    for (const Remember& word : all_of<Remember>(actions)) last = word.memory;
+    for (const SaveDestinationState& word : all_of<SaveDestinationState>(actions)) last = word.state;
   }
-  EXPECT_NE(last.out_since, 0);
+  EXPECT_NE(last.outage_start, 0);
   const auto sends = [&](std::vector<Event> events) {
     Policy after(s, 2);
     events.insert(events.begin(), members({member(1)}));
@@ -835,7 +838,7 @@
 // sent twelve calls so to a destination that had just come back cold.
 TEST(Restart, ThePaceThatRefusalsTaughtIsRemembered) {
   const Settings s = plain_settings();
-  DestinationMemory last;
+  DestinationState last;
   Policy before(s, 1);
   std::vector<Action> actions;
   before.step(0, std::vector<Event>{members({member(1)})}, actions);
@@ -845,12 +848,12 @@
     actions.clear();
     before.step(now, std::vector<Event>{messages.message(i + 1, now)}, actions);
     std::vector<Event> refused;
-    for (const Send& send : all_of<Send>(actions)) refused.push_back(ended(send, 0, Outcome::kFull));
+    for (const Send& send : all_of<Send>(actions)) refused.push_back(ended(send, 0, Outcome::kRefused));
     before.step(now + 1000, refused, actions);
-    for (const Remember& word : all_of<Remember>(actions)) last = word.memory;
+    for (const SaveDestinationState& word : all_of<SaveDestinationState>(actions)) last = word.state;
   }
-  EXPECT_GT(last.pace, 0);
-  last.out_since = 0;  // the pace alone
+  EXPECT_GT(last.pacing_rate, 0);
+  last.outage_start = 0;  // the pace alone
   const auto sends = [&](std::vector<Event> events) {
     Policy after(s, 2);
     events.insert(events.begin(), members({member(1)}));
@@ -872,7 +875,7 @@
   std::vector<Action> actions;
   Member one = member(1);
   one.weight = 4;
-  std::vector<Event> events = {members({one}), DestinationMemory{1, 100, 0, 0, 0, 0.05}};
+  std::vector<Event> events = {members({one}), DestinationState{1, 100, 0, 0, 0, 0.05}};
   Relay messages(s);
   for (int i = 1; i <= 6; ++i) events.push_back(messages.message(i, 0));
   policy.step(0, events, actions);
@@ -894,7 +897,7 @@
   const Settings s = plain_settings();
   Policy policy(s, 1);
   std::vector<Action> actions;
-  policy.step(0, std::vector<Event>{members({member(1)}), DestinationMemory{1, 100, 0, 0, 0, 0.5}}, actions);
+  policy.step(0, std::vector<Event>{members({member(1)}), DestinationState{1, 100, 0, 0, 0, 0.5}}, actions);
   Relay messages(s);
   size_t served = 0;
   size_t records = 0;
@@ -905,7 +908,7 @@
     served += events.size() - 1;
     actions.clear();
     policy.step(now, events, actions);
-    records += all_of<Remember>(actions).size();
+    records += all_of<SaveDestinationState>(actions).size();
   }
   EXPECT_GT(served, 200u);
   EXPECT_LT(records, 30u);
@@ -920,7 +923,7 @@
   in.due = 20 * kSecond;
   in.attempts = 1;
   std::vector<Action> actions;
-  policy.step(0, std::vector<Event>{members({member(1)}), DestinationMemory{1, 0}, in}, actions);
+  policy.step(0, std::vector<Event>{members({member(1)}), DestinationState{1, 0}, in}, actions);
   EXPECT_TRUE(all_of<Send>(actions).empty());
 }
 
@@ -936,7 +939,7 @@
 
 TEST(Restart, NoCallStartsThatMayNotBeOverBeforeTheEnd) {
   Relay relay(plain_settings());
-  relay.step(0, {members({member(1)}), Closing{4 * kSecond}});
+  relay.step(0, {members({member(1)}), ShutdownScheduled{4 * kSecond}});
   EXPECT_EQ(all_of<Send>(relay.step(kSecond, {relay.message(1, kSecond)})).size(), 1u);
   EXPECT_TRUE(all_of<Send>(relay.step(3'900'000, {relay.message(2, 3'900'000)})).empty());
 }
@@ -961,7 +964,7 @@
 
 TEST(WrongUse, WhatIsNotHeldIsPassedOver) {
   Relay relay(plain_settings());
-  relay.step(0, {members({member(1)}), Withdrawn{99}, TimerFired{5}, PeerNote{1, "x"},
+  relay.step(0, {members({member(1)}), Withdrawn{99}, TimerFired{5}, PeerMessage{1, "x"},
                  ended(Send{98, {1, 80}, 0}, 0, Outcome::kOk), ProbeEnded{{9, 9}, true, 0, {}}});
 }
 
@@ -972,8 +975,9 @@
   Relay relay(plain_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(sends.size(), 1u);
-  relay.step(10'000, {members({member(1, 1, 0, Listing::kGone), member(2)}, MembersChanged::Form::kDelta)});
-  relay.step(20'000, {members({member(1, 1, 0, Listing::kGone)}, MembersChanged::Form::kDelta)});
+  relay.step(10'000,
+             {members({member(1, 1, 0, HostState::kRemoved), member(2)}, MembersChanged::Form::kDelta)});
+  relay.step(20'000, {members({member(1, 1, 0, HostState::kRemoved)}, MembersChanged::Form::kDelta)});
   relay.step(100'000, {ended(sends[0], 0, Outcome::kOk)});
   EXPECT_EQ(relay.owed(), 0u);
   const auto next = all_of<Send>(relay.step(200'000, {relay.message(8, 200'000)}));
@@ -991,7 +995,7 @@
   for (uint64_t id = 1; id <= 20; ++id) {
     const auto sends = all_of<Send>(relay.step(now, {relay.message(id, now, 1)}));
     ASSERT_EQ(sends.size(), 1u) << id;
-    const auto after = relay.step(now + 100'000, {ended(sends[0], 0, Outcome::kSpoilt)});
+    const auto after = relay.step(now + 100'000, {ended(sends[0], 0, Outcome::kMalformed)});
     EXPECT_EQ(all_of<Fail>(after).size(), 1u);
     EXPECT_TRUE(all_of<Log>(after).empty());
     now += kSecond;
@@ -1003,7 +1007,7 @@
   Relay relay(plain_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(sends.size(), 1u);
-  relay.step(50'000, {ended(sends[0], 0, Outcome::kSpoilt, 50'000, 5 * kSecond)});
+  relay.step(50'000, {ended(sends[0], 0, Outcome::kMalformed, 50'000, 5 * kSecond)});
   EXPECT_TRUE(all_of<Send>(relay.step(60'000, {relay.message(8, 60'000)})).empty());
   EXPECT_TRUE(all_of<Send>(relay.idle(100'000, 5 * kSecond)).empty());
   EXPECT_FALSE(all_of<Send>(relay.idle(5 * kSecond, 6 * kSecond)).empty());
@@ -1017,7 +1021,7 @@
   Relay relay(s);
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(sends.size(), 1u);
-  relay.step(50'000, {ended(sends[0], 0, Outcome::kFull, 50'000, 30 * kSecond)});
+  relay.step(50'000, {ended(sends[0], 0, Outcome::kRefused, 50'000, 30 * kSecond)});
   const auto refused = all_of<Refuse>(relay.idle(100'000, 21 * kSecond));
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_GT(refused[0].retry_after, 0);
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -19,15 +19,15 @@
   s.classes[3] = s.classes[2];
   s.classes[3].in_order = true;
   s.classes[1].give_up = 6 * kSecond;
-  s.order_pause = seed % 3 == 0 ? kSecond : 0;
-  s.kinds[0].batch = seed % 4 == 1 ? 3 : 1;
+  s.in_order_pause = seed % 3 == 0 ? kSecond : 0;
+  s.kinds[0].max_batch = seed % 4 == 1 ? 3 : 1;
   s.may_cancel = seed % 2 == 1;
   s.may_probe = seed % 2 == 0;
-  s.ask_for_list = seed % 3 == 1;
-  s.ask_every = 10 * kSecond;
+  s.list_requires_watch = seed % 3 == 1;
+  s.list_request_interval = 10 * kSecond;
   s.max_open = 60;
   s.weights = seed % 5 == 0 ? Weights::kNominal : Weights::kNone;
-  s.late_by_halves = seed % 2 == 1;
+  s.exponential_late_worth = seed % 2 == 1;
   s.price_handshake = s.price_cross_zone = 0.03;
   return s;
 }
@@ -83,7 +83,7 @@
         later.push_back(out);
         continue;
       }
-      const Time wait = out.outcome == Outcome::kFull && chance(0.5) ? up_to(2 * kSecond) : 0;
+      const Time wait = out.outcome == Outcome::kRefused && chance(0.5) ? up_to(2 * kSecond) : 0;
       events.push_back(ended(out.send, out.attempt, out.outcome, now_ - out.sent, wait));
     }
     out_ = std::move(later);
@@ -93,10 +93,10 @@
     if (chance(0.002)) bad_ = static_cast<int>(random_() % 4);  // the destination that does badly; 3: none
     if (chance(0.002)) {
       Member& m = members_[random_() % members_.size()];
-      m.listing = m.listing == Listing::kReady ? Listing::kDraining : Listing::kReady;
+      m.state = m.state == HostState::kReady ? HostState::kDraining : HostState::kReady;
       events.push_back(members({m}, MembersChanged::Form::kDelta));
     }
-    if (settings_.ask_for_list && chance(0.001)) {
+    if (settings_.list_requires_watch && chance(0.001)) {
       MembersChanged failed;
       failed.form = MembersChanged::Form::kFailed;
       events.push_back(failed);
@@ -113,7 +113,7 @@
         Out out = {*send, attempts_[send->id]++, 0, now_, Outcome::kOk};
         const int destination = static_cast<int>(send->endpoint.address % 3);
         if (chance(destination == bad_ ? 0.9 : 0.05)) {
-          constexpr Outcome kBad[] = {Outcome::kError, Outcome::kFull, Outcome::kTimeout,
+          constexpr Outcome kBad[] = {Outcome::kError, Outcome::kRefused, Outcome::kTimeout,
                                       Outcome::kConnectFailed, Outcome::kReset};
           out.outcome = kBad[random_() % std::size(kBad)];
         }
@@ -190,7 +190,7 @@
       const auto sends = all_of<Send>(relay.step(now, {relay.message(id, now)}));
       std::vector<Event> events;
       for (const Send& send : sends) {
-        if (send.id == id) events.push_back(ended(send, 0, id % 3 ? Outcome::kOk : Outcome::kFull));
+        if (send.id == id) events.push_back(ended(send, 0, id % 3 ? Outcome::kOk : Outcome::kRefused));
       }
       sizes.push_back(relay.step(now + 20'000, events).size());
     }
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -68,27 +68,28 @@
     c.late_worth = 0.3;
   }
   s.kinds.resize(2);
-  s.kinds[1].apart = true;
+  s.kinds[1].independent_endpoints = true;
   s.slots = 8;
   s.max_open = 200;
   s.max_attempts = 6;
   s.tick = 5000;
-  s.answer_slack = 20'000;
+  s.reply_slack = 20'000;
   s.drain_grace = kSecond;
-  s.cold = 10 * kSecond;
-  s.fall_window = 3 * kSecond;
-  s.fall_multiple = 2;
+  s.slow_start = 10 * kSecond;
+  s.overload_window = 3 * kSecond;
+  s.overload_factor = 2;
   s.start_capacity = 0.25;
-  s.conn_idle = 10 * kSecond;
+  s.conn_idle_timeout = 10 * kSecond;
   return s;
 }
 
-inline Member member(uint32_t address, int destination = 1, int kind = 0, Listing listing = Listing::kReady) {
+inline Member member(uint32_t address, int destination = 1, int kind = 0,
+                     HostState listing = HostState::kReady) {
   Member m;
   m.endpoint = {address, 80};
   m.destination = destination;
   m.kind = kind;
-  m.listing = listing;
+  m.state = listing;
   return m;
 }
 
@@ -108,8 +109,8 @@
   out.endpoint = send.endpoint;
   out.outcome = outcome;
   out.final = outcome == Outcome::kOk;
-  out.took = took;
-  out.wait = wait;
+  out.duration = took;
+  out.retry_after = wait;
   return out;
 }
 
--- a/tests/rules_checker.cpp
+++ b/tests/rules_checker.cpp
@@ -9,7 +9,8 @@
 }
 
 std::pair<int, Endpoint> RulesChecker::limit_group(const Member& member) const {
-  const bool apart = member.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[member.kind].apart;
+  const bool apart =
+      member.kind < static_cast<int>(set_.kinds.size()) && set_.kinds[member.kind].independent_endpoints;
   return {member.destination, apart ? member.endpoint : Endpoint{}};
 }
 
@@ -21,7 +22,7 @@
       }
       for (const Member& member : *list->members) {
         members_[member.endpoint] = member;
-        if (member.listing == Listing::kReady) {
+        if (member.state == HostState::kReady) {
           drained_at_.erase(member.endpoint);
         } else {
           drained_at_.try_emplace(member.endpoint, now);
@@ -38,14 +39,14 @@
       sent.out = false;
       if (--calls_[sent.call] == 0) calls_.erase(sent.call);
       const Outcome o = ended->outcome;
-      sent.ran = o != Outcome::kFull && o != Outcome::kConnectFailed && o != Outcome::kMoot;
+      sent.ran = o != Outcome::kRefused && o != Outcome::kConnectFailed && o != Outcome::kNotStarted;
       if (ended->final) it->second.ended = true;
-      if (o == Outcome::kFull && ended->wait > 0) {
+      if (o == Outcome::kRefused && ended->retry_after > 0) {
         Time& wait = waits_[limit_group(members_[sent.endpoint])];
-        wait = std::max(wait, now + ended->wait);
+        wait = std::max(wait, now + ended->retry_after);
       }
       if (o == Outcome::kTimeout || o == Outcome::kReset || o == Outcome::kCancelled) {
-        rests_[it->second.in.key] = {now + set_.order_pause, ended->id};
+        rests_[it->second.in.key] = {now + set_.in_order_pause, ended->id};
       }
     } else if (const auto* gone = std::get_if<Withdrawn>(&event)) {
       const auto it = held_.find(gone->id);
@@ -67,7 +68,7 @@
     if (std::holds_alternative<Probe>(action) && !set_.may_probe) fault(0, "probe where none is allowed");
   }
   for (const auto& [id, held] : held_) {
-    if (!held.ended && now > held.in.due + set_.answer_slack) fault(id, "lost");
+    if (!held.ended && now > held.in.due + set_.reply_slack) fault(id, "lost");
   }
 }
 
@@ -103,7 +104,7 @@
 // Sends of one round to one endpoint share a call, as far as its kind allows.
 uint64_t RulesChecker::join_call(const Member& member) {
   const auto open = round_.find(member.endpoint);
-  if (open == round_.end() || calls_[open->second] >= set_.kinds[member.kind].batch) {
+  if (open == round_.end() || calls_[open->second] >= set_.kinds[member.kind].max_batch) {
     round_[member.endpoint] = ++last_call_;
   }
   ++calls_[round_[member.endpoint]];
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -104,10 +104,10 @@
     host.close();
   };
   const AttemptEnded crowded = call(hang_up);
-  EXPECT_EQ(crowded.outcome, Outcome::kFull);
-  EXPECT_TRUE(crowded.crowded);
-  EXPECT_FALSE(call(answering("503")).crowded);  // on a new one that stays
-  EXPECT_FALSE(call(hang_up).crowded);           // on that
+  EXPECT_EQ(crowded.outcome, Outcome::kRefused);
+  EXPECT_TRUE(crowded.connection_limit_reached);
+  EXPECT_FALSE(call(answering("503")).connection_limit_reached);  // on a new one that stays
+  EXPECT_FALSE(call(hang_up).connection_limit_reached);           // on that
   EXPECT_EQ(host_.connections(), 2);
 }
 
@@ -118,13 +118,13 @@
   EXPECT_EQ(ok.report, (std::vector<float>{0.5, 25}));
   EXPECT_EQ(call(answering("500")).outcome, Outcome::kError);
   const AttemptEnded told = call(answering("429", "Retry-After: 1.25\r\n"));
-  EXPECT_EQ(told.outcome, Outcome::kFull);
-  EXPECT_EQ(told.wait, 1'250'000);
-  EXPECT_EQ(call(answering("503")).outcome, Outcome::kFull);
-  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, Outcome::kMoot);
+  EXPECT_EQ(told.outcome, Outcome::kRefused);
+  EXPECT_EQ(told.retry_after, 1'250'000);
+  EXPECT_EQ(call(answering("503")).outcome, Outcome::kRefused);
+  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, Outcome::kNotStarted);
   EXPECT_FALSE(call(answering("504")).final);
   const AttemptEnded over = call(answering("410"));
-  EXPECT_EQ(over.outcome, Outcome::kMoot);
+  EXPECT_EQ(over.outcome, Outcome::kNotStarted);
   EXPECT_TRUE(over.final);
   EXPECT_EQ(host_.connections(), 1);  // all on one connection
 }
@@ -182,7 +182,7 @@
     boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); });
     EXPECT_TRUE(host.closed_by_peer());
   });
-  EXPECT_TRUE(end.outcome == Outcome::kSpoilt || end.outcome == Outcome::kCancelled);
+  EXPECT_TRUE(end.outcome == Outcome::kMalformed || end.outcome == Outcome::kCancelled);
 }
 
 // Long silence, then the end of the connection: by then nobody knows any more how far the call got.
@@ -196,7 +196,7 @@
     host.reset();
   });
   EXPECT_EQ(end.outcome, Outcome::kReset);
-  EXPECT_GE(end.took, 1'900'000);
+  EXPECT_GE(end.duration, 1'900'000);
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
@@ -211,16 +211,16 @@
     host.respond("429", "Retry-After: 1.5\r\n");
     EXPECT_TRUE(host.drained_until_closed());
   });
-  EXPECT_EQ(told.outcome, Outcome::kFull);
-  EXPECT_EQ(told.wait, 1'500'000);
+  EXPECT_EQ(told.outcome, Outcome::kRefused);
+  EXPECT_EQ(told.retry_after, 1'500'000);
   EXPECT_TRUE(began_);
   const AttemptEnded crowded = call([](FakeHost& host) {
     host.read_head();
     host.respond("503", "Connection: close\r\n");
     host.close();  // over what it did not read: a reset follows the answer
   });
-  EXPECT_EQ(crowded.outcome, Outcome::kFull);
-  EXPECT_TRUE(crowded.crowded);
+  EXPECT_EQ(crowded.outcome, Outcome::kRefused);
+  EXPECT_TRUE(crowded.connection_limit_reached);
   const AttemptEnded delivered = call([](FakeHost& host) {
     host.read_head();
     host.respond("200");
@@ -294,7 +294,7 @@
   while (!end) io.run_one();
   host.join();
   EXPECT_EQ(end->outcome, Outcome::kOk);
-  EXPECT_GE(end->took, 500'000) << "its connection was up at once";
+  EXPECT_GE(end->duration, 500'000) << "its connection was up at once";
 }
 
 // Nothing of it is ever written, also where the connection comes up after all.
@@ -303,7 +303,7 @@
   boost::asio::post(io_, [this] { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); });
   EXPECT_EQ(call_to(queue.listener.port(), 20'000'000).outcome, Outcome::kConnectFailed);
   EXPECT_FALSE(began_);
-  EXPECT_LT(ended_->took, 900'000) << "its time to connect ended it";
+  EXPECT_LT(ended_->duration, 900'000) << "its time to connect ended it";
 }
 
 // While its record is being synced a call has written nothing: given up then, it goes nowhere afterwards.
@@ -341,7 +341,7 @@
 // The host drained, or its destination told another call to wait, while this one's connection came up.
 TEST_F(UpstreamTest, LooksOnceMoreBeforeTheFirstByte) {
   may_start_ = false;
-  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, Outcome::kMoot);
+  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, Outcome::kNotStarted);
   EXPECT_FALSE(began_);
   may_start_ = true;
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
@@ -398,7 +398,7 @@
       host.send_raw(bytes);
       EXPECT_TRUE(host.closed_by_peer());
     });
-    EXPECT_EQ(end.outcome, Outcome::kSpoilt) << bytes.substr(0, 60);
+    EXPECT_EQ(end.outcome, Outcome::kMalformed) << bytes.substr(0, 60);
     EXPECT_FALSE(end.final);
     EXPECT_EQ(host_.connections(), ++made);
   }
@@ -417,10 +417,10 @@
         host.close();
       });
       const bool ran = status.starts_with("200") && cut > std::string("HTTP/1.1 200").size();
-      EXPECT_EQ(end.outcome, cut == 0 ? Outcome::kReset : ran ? Outcome::kOk : Outcome::kSpoilt) << cut;
+      EXPECT_EQ(end.outcome, cut == 0 ? Outcome::kReset : ran ? Outcome::kOk : Outcome::kMalformed) << cut;
       EXPECT_EQ(end.final, ran) << cut;
       // A wait that was told counts, whatever became of the rest.
-      EXPECT_EQ(end.wait, status.starts_with("429") && cut >= head ? 1'500'000 : 0) << cut;
+      EXPECT_EQ(end.retry_after, status.starts_with("429") && cut >= head ? 1'500'000 : 0) << cut;
     }
   }
 }
@@ -432,7 +432,7 @@
       host.send_raw(std::string(1, byte));
     }
   });
-  EXPECT_EQ(end.outcome, Outcome::kFull);
+  EXPECT_EQ(end.outcome, Outcome::kRefused);
 }
 
 // Half a line on a resting connection, in the instant in which the next call is written: no answer can be
@@ -445,7 +445,7 @@
     host.respond("503");
     EXPECT_TRUE(host.closed_by_peer());
   });
-  EXPECT_EQ(end.outcome, Outcome::kSpoilt);
+  EXPECT_EQ(end.outcome, Outcome::kMalformed);
   EXPECT_EQ(host_.connections(), 1);
 }
 
@@ -471,7 +471,7 @@
     host.send_raw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX-Y: z\r\n\r\n");
     host.respond("503");
   });
-  EXPECT_EQ(end.outcome, Outcome::kFull);
+  EXPECT_EQ(end.outcome, Outcome::kRefused);
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 1);
 }
@@ -504,17 +504,17 @@
 TEST_F(UpstreamTest, HeedsNoWaitThatIsNoNumber) {
   for (const std::string wait : {"nan", "-5", "soon", "1.5x", "inf"}) {
     const AttemptEnded end = call(answering("429", "Retry-After: " + wait + "\r\n"));
-    EXPECT_EQ(end.outcome, Outcome::kFull);
-    EXPECT_EQ(end.wait, 0) << wait;
+    EXPECT_EQ(end.outcome, Outcome::kRefused);
+    EXPECT_EQ(end.retry_after, 0) << wait;
   }
-  EXPECT_EQ(call(answering("429", "Retry-After: 1e30\r\n")).wait, 24 * Time{3600'000'000});
+  EXPECT_EQ(call(answering("429", "Retry-After: 1e30\r\n")).retry_after, 24 * Time{3600'000'000});
 }
 
 // Held to the longest life of a message, a wait of 10.8 s ended after 5 s where messages live for 5 s, and
 // what came in the meantime was sent into it.
 TEST_F(UpstreamTest, AWaitIsNotCutShort) {
-  EXPECT_EQ(call(answering("429", "Retry-After: 10.8\r\n")).wait, 10'800'000);
-  EXPECT_EQ(call(answering("429", "Retry-After: 3600.5\r\n")).wait, 3600'500'000);
+  EXPECT_EQ(call(answering("429", "Retry-After: 10.8\r\n")).retry_after, 10'800'000);
+  EXPECT_EQ(call(answering("429", "Retry-After: 3600.5\r\n")).retry_after, 3600'500'000);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -76,10 +76,10 @@
                              "02 3f000000 40a00000");
   const auto& ended = event<AttemptEnded>(events.at(0));
   EXPECT_EQ(ended.endpoint, (Endpoint{0x0a124a07, 0x1b5b}));
-  EXPECT_EQ(ended.took, 18'500);
-  EXPECT_EQ(ended.outcome, Outcome::kFull);
+  EXPECT_EQ(ended.duration, 18'500);
+  EXPECT_EQ(ended.outcome, Outcome::kRefused);
   EXPECT_FALSE(ended.final);
-  EXPECT_EQ(ended.wait, 500'000);
+  EXPECT_EQ(ended.retry_after, 500'000);
   EXPECT_EQ(ended.attempt, 2);
   EXPECT_EQ(ended.report, (std::vector<float>{0.5f, 5.0f}));
 }
@@ -96,10 +96,10 @@
   ASSERT_EQ(events.size(), 2u);
   const Member& first = event<MembersChanged>(events[0]).members->at(0);
   EXPECT_EQ(first.endpoint, (Endpoint{0x0a124a07, 0x1b5b}));
-  EXPECT_EQ(first.listing, Listing::kReady);
+  EXPECT_EQ(first.state, HostState::kReady);
   EXPECT_EQ(first.destination, 57);
   const Member& second = event<MembersChanged>(events[1]).members->at(0);
-  EXPECT_EQ(second.listing, Listing::kDraining);
+  EXPECT_EQ(second.state, HostState::kDraining);
   EXPECT_EQ(second.zone, 1);
   EXPECT_EQ(second.kind, 1);
   EXPECT_DOUBLE_EQ(second.weight, 1.5);
@@ -116,21 +116,22 @@
   const auto events = decode(decoder, 5,
                              "0c 0003 01 0000000000000009 00000003 613d62 0a"
                              "08 0a9011f2 1b84 01 3f56f0068db8bac7 00 09 0002 0004 68692037");
-  EXPECT_EQ(std::get<PowerOn>(events.at(0).event).facts, "a=b");
+  EXPECT_EQ(std::get<PowerOn>(events.at(0).event).settings, "a=b");
   EXPECT_TRUE(std::holds_alternative<Kill>(events.at(1).event));
   EXPECT_TRUE(event<ProbeEnded>(events.at(2)).ok);
-  EXPECT_EQ(event<PeerNote>(events.at(3)).bytes, "hi 7");
+  EXPECT_EQ(event<PeerMessage>(events.at(3)).bytes, "hi 7");
 }
 
 TEST(Wire, WritesActions) {
   Encoder out;
   const std::vector<Action> actions = {Send{0x000ae1aa5d3a91c4, {0x0a124a07, 0x1b5b}, 80'000},
                                        SetTimer{77, 8'912'250}};
-  out.actions(3, actions);
-  out.actions(4, {});
-  const std::vector<Action> more = {Refuse{5, 300'000}, Fail{6},     Cancel{7, 1}, Probe{{1, 2}},
-                                    CloseIdle{{1, 2}},  WatchList{}, Log{"hi"},    TellPeers{"hi"}};
-  out.actions(5, more);
+  out.add_actions(3, actions);
+  out.add_actions(4, {});
+  const std::vector<Action> more = {
+      Refuse{5, 300'000},           Fail{6},     Cancel{7, 1}, Probe{{1, 2}},
+      CloseIdleConnections{{1, 2}}, WatchList{}, Log{"hi"},    NotifyPeers{"hi"}};
+  out.add_actions(5, more);
   EXPECT_EQ(out.frame(), bytes("0000006e 0000000c"
                                "04 0003 07 000ae1aa5d3a91c4 0a124a07 1b5b 3fb47ae147ae147b"
                                "03 000000000000004d 4021d3126e978d50"
@@ -141,7 +142,7 @@
 
 TEST(Wire, PanicNamesItsInstance) {
   Encoder out;
-  out.panic(3, "oh");
+  out.add_panic(3, "oh");
   EXPECT_EQ(out.frame(), bytes("00000008 00000002 04 0003 06 0002 6f68"));
 }
 
