--- a/limits/judge.cpp
+++ b/limits/judge.cpp
@@ -15,10 +15,10 @@
   return out;
 }
 
-void raise(Usage& to, const Usage& by) {
+void raise(ResourceUsage& to, const ResourceUsage& by) {
   to.cpu = std::max(to.cpu, by.cpu);
   to.resident = std::max(to.resident, by.resident);
-  to.peak = std::max(to.peak, by.peak);
+  to.peak_resident = std::max(to.peak_resident, by.peak_resident);
   to.temporary = std::max(to.temporary, by.temporary);
   to.disk = std::max(to.disk, by.disk);
   to.files = std::max(to.files, by.files);
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-std::optional<Exceeded> Judge::see(Time at, const Usage& usage) {
+std::optional<LimitViolation> LimitMonitor::add_sample(Time at, const ResourceUsage& usage) {
   samples_.push_back({at, usage});
-  while (samples_.front().at < at - kCurve) samples_.pop_front();
+  while (samples_.front().at < at - kHistoryLength) samples_.pop_front();
   raise(highest_, usage);
   raise(window_, usage);
   highest_memory_ = std::max(highest_memory_, usage.memory());
@@ -57,37 +57,37 @@
     seconds_ = std::move(half);
   }
   if (told_) return {};
-  Exceeded out;
+  LimitViolation out;
   if (limits_.memory > 0 && usage.memory() > limits_.memory) {
     out.limit = "memory";
-    out.what = text(
+    out.description = text(
         "%.1f MB of memory, %.1f over its limit of %.1f: %.1f resident now, %.1f at the most in one "
         "process, %d process(es), %.1f in temporary files",
         mb(usage.memory()), mb(usage.memory() - limits_.memory), mb(limits_.memory), mb(usage.resident),
-        mb(usage.peak), usage.processes, mb(usage.temporary));
+        mb(usage.peak_resident), usage.processes, mb(usage.temporary));
   } else if (limits_.disk > 0 && usage.disk > limits_.disk) {
     out.limit = "disk";
-    out.what = text(
+    out.description = text(
         "%.3f MB in the state folder, %.3f over its limit of %.3f: %zu file(s), each in whole 512 "
         "bytes",
         mb(usage.disk), mb(usage.disk - limits_.disk), mb(limits_.disk), usage.files);
   } else if (limits_.descriptors > 0 && usage.descriptors > limits_.descriptors) {
     out.limit = "descriptors";
-    out.what = text("%d descriptors in one process, %d over its limit of %d", usage.descriptors,
-                    usage.descriptors - limits_.descriptors, limits_.descriptors);
+    out.description = text("%d descriptors in one process, %d over its limit of %d", usage.descriptors,
+                           usage.descriptors - limits_.descriptors, limits_.descriptors);
   } else if (limits_.sockets > 0 && usage.sockets > limits_.sockets) {
     out.limit = "sockets";
-    out.what = text("%d sockets over %d process(es), %d over the limit of %d", usage.sockets, usage.processes,
-                    usage.sockets - limits_.sockets, limits_.sockets);
+    out.description = text("%d sockets over %d process(es), %d over the limit of %d", usage.sockets,
+                           usage.processes, usage.sockets - limits_.sockets, limits_.sockets);
   } else {
     return {};
   }
   told_ = true;
-  out.curve = curve(at);
+  out.recent_samples = curve(at);
   return out;
 }
 
-void Judge::started(Time) {
+void LimitMonitor::on_process_started(Time) {
   told_ = false;
   window_ = {};
   samples_.clear();
@@ -95,56 +95,57 @@
   step_ = kSecond;
 }
 
-Usage Judge::take_window() { return std::exchange(window_, Usage{}); }
+ResourceUsage LimitMonitor::take_interval_peaks() { return std::exchange(window_, ResourceUsage{}); }
 
 // Evenly spaced samples, and among them always the last.
-std::vector<std::string> Judge::curve(Time until) const {
+std::vector<std::string> LimitMonitor::curve(Time until) const {
   std::vector<std::string> out;
-  const size_t every = std::max<size_t>(1, (samples_.size() + kCurveLines - 1) / kCurveLines);
+  const size_t every = std::max<size_t>(1, (samples_.size() + kMaxHistoryLines - 1) / kMaxHistoryLines);
   for (size_t i = (samples_.size() - 1) % every; i < samples_.size(); i += every) {
     const Sample& s = samples_[i];
     out.push_back(text(
         "%+8.0f ms  resident %.1f MB, peak %.1f, temporary %.1f, disk %.3f MB, %d descriptors, %d "
         "sockets, %d process(es)",
-        static_cast<double>(s.at - until) / 1e3, mb(s.usage.resident), mb(s.usage.peak),
+        static_cast<double>(s.at - until) / 1e3, mb(s.usage.resident), mb(s.usage.peak_resident),
         mb(s.usage.temporary), mb(s.usage.disk), s.usage.descriptors, s.usage.sockets, s.usage.processes));
   }
   return out;
 }
 
-Growth Judge::growth() const {
-  Growth out;
+MemoryGrowth LimitMonitor::growth() const {
+  MemoryGrowth out;
   if (seconds_.size() < 2) return out;
   const Time end = seconds_.back().at;
   const Time half = (end - seconds_.front().at) / 2;
-  if (half < kShortestHalf) return out;
-  out.judged = true;
-  out.parts = kParts;
-  std::vector<double> least(kParts, -1);
+  if (half < kMinHalf) return out;
+  out.evaluated = true;
+  out.intervals = kGrowthIntervals;
+  std::vector<double> least(kGrowthIntervals, -1);
   for (const Least& second : seconds_) {
     if (second.at < end - half) continue;
-    const auto part =
-        std::min<size_t>(kParts - 1, static_cast<size_t>((second.at - (end - half)) * kParts / half));
+    const auto part = std::min<size_t>(
+        kGrowthIntervals - 1, static_cast<size_t>((second.at - (end - half)) * kGrowthIntervals / half));
     const double value = mb(second.memory);
     least[part] = least[part] < 0 ? value : std::min(least[part], value);
   }
   std::vector<double> slopes;
-  for (size_t i = 0; i < kParts; ++i) {
-    for (size_t j = i + 1; j < kParts; ++j) {
+  for (size_t i = 0; i < kGrowthIntervals; ++i) {
+    for (size_t j = i + 1; j < kGrowthIntervals; ++j) {
       if (least[i] >= 0 && least[j] >= 0)
         slopes.push_back((least[j] - least[i]) / static_cast<double>(j - i));
     }
-    if (i > 0 && least[i] > least[i - 1] && least[i - 1] >= 0) ++out.rises;
+    if (i > 0 && least[i] > least[i - 1] && least[i - 1] >= 0) ++out.increases;
   }
   const double a_part = median(std::move(slopes));
-  out.mb = a_part * (kParts - 1);
-  out.mb_a_minute = a_part * kParts / (static_cast<double>(half) / 60e6);
-  out.leak = out.rises >= kLeakRises && out.mb > std::max(kLeakMb, kLeakShare * std::max(0.0, least[0]));
+  out.mb = a_part * (kGrowthIntervals - 1);
+  out.mb_per_minute = a_part * kGrowthIntervals / (static_cast<double>(half) / 60e6);
+  out.is_leak = out.increases >= kMinLeakIncreases &&
+                out.mb > std::max(kMinLeakMb, kMinLeakShare * std::max(0.0, least[0]));
   return out;
 }
 
-bool Quota::stands(Time now, Time cpu) {
-  if (!bound()) return false;
+bool CpuQuota::must_pause(Time now, Time cpu) {
+  if (!is_limited()) return false;
   if (period_ == 0 || now >= period_ + kPeriod) {
     // What was used past the end of the last one is owed in this.
     const Time allowed = static_cast<Time>(cores_ * static_cast<double>(kPeriod));
--- a/limits/meter.cpp
+++ b/limits/meter.cpp
@@ -91,7 +91,7 @@
     if (gone) continue;
     struct stat blocks {};  // what a file occupies: a hole takes no memory
     if (::lstat(it->path().c_str(), &blocks) == 0) out.bytes += static_cast<size_t>(blocks.st_blocks) * 512;
-    out.counted += counted(size);
+    out.counted += block_rounded(size);
     ++out.files;
   }
   return out;
@@ -101,12 +101,12 @@
 
 void adopt_orphans() { ::prctl(PR_SET_CHILD_SUBREAPER, 1); }
 
-Meter::Meter(pid_t relay, std::filesystem::path state, std::filesystem::path temporary)
+ResourceMeter::ResourceMeter(pid_t relay, std::filesystem::path state, std::filesystem::path temporary)
     : relay_(relay), state_(std::move(state)), temporary_(std::move(temporary)) {
   processes_[relay] = 0;
 }
 
-bool Meter::is_own(pid_t pid) const {
+bool ResourceMeter::is_own(pid_t pid) const {
   const Stat stat = read_stat(pid);
   if (stat.session == relay_ || processes_.contains(stat.parent)) return true;
   if (stat.parent != ::getpid()) return false;
@@ -114,7 +114,7 @@
   return read_whole(proc(pid, "environ")).find("PROXY_STATE=" + state_.string() + '\0') != std::string::npos;
 }
 
-void Meter::look_for_processes() {
+void ResourceMeter::look_for_processes() {
   DIR* all = ::opendir("/proc");
   if (all == nullptr) return;
   std::set<pid_t> seen;
@@ -149,18 +149,18 @@
   }
 }
 
-Time Meter::cpu() const {
+Time ResourceMeter::cpu() const {
   Time out = ended_cpu_;
   for (const auto& [pid, before] : processes_) out += std::max(before, process_cpu(pid));
   return out;
 }
 
-void Meter::signal(int number) {
+void ResourceMeter::signal(int number) {
   look_for_processes();
   for (const auto& [pid, cpu] : processes_) ::kill(pid, number);
 }
 
-void Meter::add_memory(Usage& out) const {
+void ResourceMeter::add_memory(ResourceUsage& out) const {
   size_t alone = 0;
   int living = 0;
   for (const auto& [pid, cpu] : processes_) {
@@ -170,7 +170,7 @@
     if (resident == 0) continue;
     ++living;
     alone += resident;
-    out.peak = std::max(out.peak, kilobytes(status, "VmHWM:"));
+    out.peak_resident = std::max(out.peak_resident, kilobytes(status, "VmHWM:"));
   }
   out.resident = alone;
   if (living < 2) return;
@@ -181,7 +181,7 @@
   if (shared_once > 0) out.resident = std::min(alone, shared_once);
 }
 
-void Meter::add_descriptors() {
+void ResourceMeter::add_descriptors() {
   last_.descriptors = 0;
   last_.sockets = 0;
   std::set<std::string> sockets;
@@ -205,26 +205,26 @@
   last_.sockets = static_cast<int>(sockets.size());
 }
 
-void Meter::read_folders(Time now) {
+void ResourceMeter::read_folders(Time now) {
   const Time begin = steady_now();
   const Folder state = read_folder(state_);
   last_.disk = state.counted;
   last_.files = state.files;
   last_.temporary = read_folder(temporary_).bytes;
-  read_next_ = now + std::max(kReadFolders, kRestOverCost * (steady_now() - begin));
+  read_next_ = now + std::max(kFolderScanInterval, kFolderScanIdleFactor * (steady_now() - begin));
 }
 
-Usage Meter::sample(Time now) {
-  if (now - looked_ >= kLookForProcesses) {
+ResourceUsage ResourceMeter::sample(Time now) {
+  if (now - looked_ >= kProcessScanInterval) {
     looked_ = now;
     look_for_processes();
   }
   if (now >= read_next_) read_folders(now);
-  if (now - counted_ >= kCountDescriptors) {
+  if (now - counted_ >= kDescriptorCountInterval) {
     counted_ = now;
     add_descriptors();
   }
-  Usage out = last_;
+  ResourceUsage out = last_;
   add_memory(out);
   for (auto& [pid, cpu] : processes_) cpu = std::max(cpu, process_cpu(pid));
   out.cpu = cpu();
--- a/limits/meter.h
+++ b/limits/meter.h
@@ -21,16 +21,17 @@
 
 void adopt_orphans();  // once, for this process
 
-class Meter {
+class ResourceMeter {
  public:
-  static constexpr Time kLookForProcesses = 40 * kMillisecond;
-  static constexpr Time kCountDescriptors = 50 * kMillisecond;
-  static constexpr Time kReadFolders = 20 * kMillisecond;
-  static constexpr int kRestOverCost = 20;  // reading folders may take one part in so many of the time
+  static constexpr Time kProcessScanInterval = 40 * kMillisecond;
+  static constexpr Time kDescriptorCountInterval = 50 * kMillisecond;
+  static constexpr Time kFolderScanInterval = 20 * kMillisecond;
+  static constexpr int kFolderScanIdleFactor =
+      20;  // reading folders may take one part in so many of the time
 
-  Meter(pid_t relay, std::filesystem::path state, std::filesystem::path temporary);
+  ResourceMeter(pid_t relay, std::filesystem::path state, std::filesystem::path temporary);
 
-  Usage sample(Time now);
+  ResourceUsage sample(Time now);
   Time cpu() const;         // nanosecond clocks of its processes, in microseconds; cheap
   void signal(int number);  // to all its processes
   const std::map<pid_t, Time>& processes() const { return processes_; }
@@ -38,7 +39,7 @@
  private:
   void look_for_processes();
   bool is_own(pid_t pid) const;
-  void add_memory(Usage& out) const;
+  void add_memory(ResourceUsage& out) const;
   void add_descriptors();
   void read_folders(Time now);
 
@@ -49,7 +50,7 @@
   std::set<pid_t> foreign_;          // looked at, and not its own
   Time ended_cpu_ = 0;               // of those that have ended
   Time looked_ = 0, counted_ = 0, read_ = 0, read_next_ = 0;
-  Usage last_;
+  ResourceUsage last_;
 };
 
 }  // namespace umberhoist::limits
--- a/rehearsal/checker.cpp
+++ b/rehearsal/checker.cpp
@@ -26,15 +26,15 @@
 
 }  // namespace
 
-int number_of(Rule rule) {
+int rule_number(Rule rule) {
   switch (rule) {
     case Rule::kLost:
-    case Rule::kLate:
-    case Rule::kTwoAnswers:
+    case Rule::kNoticeLate:
+    case Rule::kTwoFinalAnswers:
       return 1;
-    case Rule::kRepeated:
-    case Rule::kWindow:
-    case Rule::kTwoAtOnce:
+    case Rule::kUnsafeRepeated:
+    case Rule::kKeyWindow:
+    case Rule::kTwoAttemptsAtOnce:
     case Rule::kTwoEffects:
       return 2;
     case Rule::kDrain:
@@ -48,19 +48,19 @@
   }
 }
 
-const char* name_of(Rule rule) {
+const char* rule_name(Rule rule) {
   switch (rule) {
     case Rule::kLost:
       return "lost";
-    case Rule::kLate:
+    case Rule::kNoticeLate:
       return "notice-late";
-    case Rule::kTwoAnswers:
+    case Rule::kTwoFinalAnswers:
       return "two-final-answers";
-    case Rule::kRepeated:
+    case Rule::kUnsafeRepeated:
       return "unsafe-repeated";
-    case Rule::kWindow:
+    case Rule::kKeyWindow:
       return "key-window";
-    case Rule::kTwoAtOnce:
+    case Rule::kTwoAttemptsAtOnce:
       return "two-attempts-at-once";
     case Rule::kTwoEffects:
       return "two-effects";
@@ -72,13 +72,13 @@
       return "wait";
     case Rule::kAttempts:
       return "attempts";
-    case Rule::kEndpoint:
+    case Rule::kWrongEndpoint:
       return "wrong-endpoint";
     case Rule::kContent:
       return "content";
     case Rule::kCrash:
       return "crash";
-    case Rule::kGrowth:
+    case Rule::kMemoryGrowth:
       return "memory-growth";
     case Rule::kExpectation:
       return "expectation";
@@ -93,7 +93,7 @@
   int endpoint = 0;
   Time first_byte = 0;
   std::optional<CallEnd> end;
-  bool may_have_run() const { return end && *end != CallEnd::kTurnedAway && *end != CallEnd::kOver; }
+  bool may_have_run() const { return end && *end != CallEnd::kRefused && *end != CallEnd::kMessageOver; }
 };
 
 namespace {
@@ -186,7 +186,7 @@
 }  // namespace
 
 struct Checker::Tracked {
-  Handing handing;
+  Submission handing;
   uint64_t body = 0;
   Time taken_on = 0;     // 0: no +OK was heard
   Time answered = 0;     // -BUSY or an error: its final answer
@@ -203,7 +203,7 @@
   std::vector<Moment> moments;
 
   void record(Moment moment) {
-    if (moments.size() < kMostHistory) moments.push_back(moment);
+    if (moments.size() < kMaxHistoryEvents) moments.push_back(moment);
   }
 };
 
@@ -216,7 +216,7 @@
   std::deque<std::pair<Time, int>> load;
 };
 
-Checker::Checker(Figures figures, Time start) : figures_(std::move(figures)), start_(start) {}
+Checker::Checker(RuleParameters figures, Time start) : figures_(std::move(figures)), start_(start) {}
 Checker::~Checker() = default;
 
 Checker::Tracked* Checker::find(uint64_t id) {
@@ -225,13 +225,13 @@
 }
 
 void Checker::breach(Rule rule, Time at, const Tracked* m, int relay, int destination, std::string what) {
-  if (++breach_count_ > kMostBreaches) return;
-  Breach out;
+  if (++breach_count_ > kMaxViolations) return;
+  Violation out;
   out.rule = rule;
   out.at = at;
   out.relay = relay;
   out.destination = destination;
-  out.what = std::move(what);
+  out.description = std::move(what);
   if (m != nullptr) {
     out.message = m->handing.message;
     out.id = m->handing.id;
@@ -245,14 +245,14 @@
   m.over = at;
   if (m.taken_on != 0) --owed_;
   if (m.overdue && !m.released) {
-    breach(Rule::kLate, at, &m, m.handing.relay, m.handing.destination,
+    breach(Rule::kNoticeLate, at, &m, m.handing.relay, m.handing.destination,
            text("its end came %.0f ms after its time", static_cast<double>(at - m.handing.due) / 1e3));
   }
 }
 
 // ---- Clients ----
 
-void Checker::handed_in(Time at, const Handing& handing, uint64_t body) {
+void Checker::on_submitted(Time at, const Submission& handing, uint64_t body) {
   Tracked* m = find(handing.id);
   if (m == nullptr) {
     auto fresh = std::make_unique<Tracked>();
@@ -265,7 +265,7 @@
   m->record({at, Happened::kHandedIn, handing.relay, handing.due - at});
 }
 
-void Checker::taken_on(Time at, uint64_t id) {
+void Checker::on_accepted(Time at, uint64_t id) {
   Tracked* m = find(id);
   if (m == nullptr) return;
   m->record({at, Happened::kTakenOn});
@@ -280,40 +280,40 @@
   due_.push({m->handing.due + figures_.notice_slack + figures_.tolerance, id});
 }
 
-void Checker::turned_away(Time at, uint64_t id, Time after) {
+void Checker::on_refused(Time at, uint64_t id, Time after) {
   Tracked* m = find(id);
   if (m == nullptr) return;
   m->record({at, Happened::kTurnedAway, 0, after});
   m->answered = at;
   m->refused = true;
   if (m->taken_on != 0) {
-    breach(Rule::kTwoAnswers, at, m, m->handing.relay, m->handing.destination,
+    breach(Rule::kTwoFinalAnswers, at, m, m->handing.relay, m->handing.destination,
            "refused after it was taken on");
   }
   for (const Attempt& attempt : m->attempts) {
     if (attempt.may_have_run() && figures_.classes[m->handing.message_class].effect == Effect::kUnsafe) {
-      breach(Rule::kRepeated, at, m, m->handing.relay, m->handing.destination,
+      breach(Rule::kUnsafeRepeated, at, m, m->handing.relay, m->handing.destination,
              "refused though an attempt may have run");
       break;
     }
   }
 }
 
-void Checker::answered_failed(Time at, uint64_t id, const std::string&) {
+void Checker::on_failed(Time at, uint64_t id, const std::string&) {
   Tracked* m = find(id);
   if (m == nullptr) return;
   m->record({at, Happened::kFailed});
   m->answered = at;
 }
 
-void Checker::unanswered(Time at, uint64_t id, Unanswered how) {
+void Checker::on_no_reply(Time at, uint64_t id, NoReplyReason how) {
   Tracked* m = find(id);
   if (m == nullptr || m->taken_on != 0) return;
-  m->record({at, how == Unanswered::kGaveUp   ? Happened::kGaveUp
-                 : how == Unanswered::kClosed ? Happened::kClosed
-                                              : Happened::kDied});
+  m->record({at, how == NoReplyReason::kTimeout            ? Happened::kGaveUp
+                 : how == NoReplyReason::kConnectionClosed ? Happened::kClosed
+                                                           : Happened::kDied});
   m->released = true;
-  if (how == Unanswered::kClosed) {
+  if (how == NoReplyReason::kConnectionClosed) {
     breach(Rule::kLost, at, m, m->handing.relay, m->handing.destination,
            "the relay closed the client's connection on a request that it owed an answer");
   }
@@ -321,7 +321,7 @@
 
 // ---- Calls ----
 
-void Checker::called(Time at, const Call& call) {
+void Checker::on_call(Time at, const Call& call) {
   Tracked* m = find(call.id);
   if (m != nullptr) m->record({at, Happened::kCalled, call.endpoint, static_cast<int64_t>(call.number)});
   judge_place(at, call, m);
@@ -343,11 +343,11 @@
   const auto endpoint = endpoints_.find(call.endpoint);
   const int destination = endpoint == endpoints_.end() ? -1 : endpoint->second.destination;
   if (m == nullptr) {
-    return breach(Rule::kEndpoint, at, m, call.relay, destination,
+    return breach(Rule::kWrongEndpoint, at, m, call.relay, destination,
                   "a call for a message that no client handed in");
   }
   if (destination != m->handing.destination) {
-    breach(Rule::kEndpoint, at, m, call.relay, destination,
+    breach(Rule::kWrongEndpoint, at, m, call.relay, destination,
            text("sent to endpoint %d of destination %d, wanted for %d", call.endpoint, destination,
                 m->handing.destination));
   }
@@ -370,7 +370,7 @@
   const auto until = relay->second.waits.find(destination);
   if (until == relay->second.waits.end() || call.first_byte >= until->second) return;
   const auto [told, wait] = relay->second.wait_from.at(destination);
-  if (call.first_byte <= told + figures_.wait_crossing + figures_.tolerance) return;
+  if (call.first_byte <= told + figures_.retry_after_grace + figures_.tolerance) return;
   breach(Rule::kWait, at, m, call.relay, destination,
          text("sent %.0f ms into a told wait of %.0f ms", static_cast<double>(call.first_byte - told) / 1e3,
               static_cast<double>(wait) / 1e3));
@@ -387,7 +387,7 @@
   const ClassRule& rule = figures_.classes[m.handing.message_class];
   const Time ended = m.noticed != 0 ? m.noticed : m.answered;
   if (ended != 0 && call.first_byte > ended + figures_.tolerance) {
-    breach(Rule::kRepeated, at, &m, call.relay, destination, "sent after its final answer");
+    breach(Rule::kUnsafeRepeated, at, &m, call.relay, destination, "sent after its final answer");
   }
   const Attempt* first = nullptr;
   for (const Attempt& attempt : m.attempts) {
@@ -400,21 +400,21 @@
   }
   if (first == nullptr) return;
   if (rule.effect == Effect::kUnsafe) {
-    breach(Rule::kRepeated, at, &m, call.relay, destination,
+    breach(Rule::kUnsafeRepeated, at, &m, call.relay, destination,
            text("class %s: sent again though call %llu may have run", rule.name.c_str(),
                 static_cast<unsigned long long>(first->call)));
   }
   const Time age = call.first_byte - first->first_byte;
   if (rule.effect == Effect::kKeyed && age > rule.key_window + figures_.tolerance) {
     breach(
-        Rule::kWindow, at, &m, call.relay, destination,
+        Rule::kKeyWindow, at, &m, call.relay, destination,
         text("class %s: sent again %.3f s after call %llu, which may have run; its key is remembered %.3f s",
              rule.name.c_str(), seconds(age), static_cast<unsigned long long>(first->call),
              seconds(rule.key_window)));
   }
 }
 
-void Checker::ran(Time at, uint64_t number, bool effect) {
+void Checker::on_executed(Time at, uint64_t number, bool effect) {
   const auto call = calls_.find(number);
   Tracked* m = call == calls_.end() ? nullptr : find(call->second);
   if (m == nullptr) return;
@@ -433,7 +433,7 @@
                     : "it took effect under the id of an earlier handing-in too: " + hex(other->handing.id));
 }
 
-void Checker::call_ended(Time at, uint64_t number, CallEnd end, Time wait) {
+void Checker::on_call_ended(Time at, uint64_t number, CallEnd end, Time wait) {
   const auto call = calls_.find(number);
   if (call == calls_.end()) return;
   Tracked* m = find(call->second);
@@ -451,13 +451,13 @@
     m->record({at, Happened::kDelivered, 0, static_cast<int64_t>(number)});
   } else if (end == CallEnd::kError) {
     m->record({at, Happened::kError, 0, static_cast<int64_t>(number)});
-  } else if (end == CallEnd::kTurnedAway) {
+  } else if (end == CallEnd::kRefused) {
     m->record({at, Happened::kFull, static_cast<int32_t>(wait / 1000), static_cast<int64_t>(number)});
-  } else if (end == CallEnd::kOver) {
+  } else if (end == CallEnd::kMessageOver) {
     m->record({at, Happened::kOver, 0, static_cast<int64_t>(number)});
   } else if (end == CallEnd::kReset) {
     m->record({at, Happened::kReset, 0, static_cast<int64_t>(number)});
-  } else if (end == CallEnd::kSpoilt) {
+  } else if (end == CallEnd::kMalformed) {
     m->record({at, Happened::kSpoilt, 0, static_cast<int64_t>(number)});
   } else {
     m->record({at, Happened::kLeft, 0, static_cast<int64_t>(number)});
@@ -473,7 +473,7 @@
     m->delivered = true;
     m->delivered_life = relays_[relay].life;
     if (m->taken_on != 0) over(*m, at);
-  } else if (end == CallEnd::kOver) {
+  } else if (end == CallEnd::kMessageOver) {
     if (m->taken_on != 0) over(*m, at);
   } else if (const auto outage = outages_.find(destination);
              outage != outages_.end() && outage->second.ended == 0) {
@@ -481,7 +481,7 @@
   }
 }
 
-void Checker::probed(Time at, int relay, int endpoint, bool ok) {
+void Checker::on_probe(Time at, int relay, int endpoint, bool ok) {
   const auto it = endpoints_.find(endpoint);
   if (it == endpoints_.end()) return;
   judge_load(at, relay, it->second.destination);
@@ -491,7 +491,7 @@
 
 // ---- The end of a message ----
 
-void Checker::notice(Time at, int relay, uint64_t id, bool returned, Time after) {
+void Checker::on_notice(Time at, int relay, uint64_t id, bool returned, Time after) {
   Tracked* m = find(id);
   if (m == nullptr) return;
   m->record({at, returned ? Happened::kReturnedNotice : Happened::kFailedNotice, relay, after});
@@ -499,18 +499,19 @@
   const int life = relays_[relay].life;
   const int destination = m->handing.destination;
   if (m->noticed != 0 && (m->returned != returned || m->noticed_life == life)) {
-    breach(Rule::kTwoAnswers, at, m, relay, destination,
+    breach(Rule::kTwoFinalAnswers, at, m, relay, destination,
            m->returned != returned ? "two notices that differ" : "the same notice twice from one process");
   } else if (m->answered != 0) {
-    breach(Rule::kTwoAnswers, at, m, relay, destination, "a notice for a message that was not taken on");
+    breach(Rule::kTwoFinalAnswers, at, m, relay, destination, "a notice for a message that was not taken on");
   } else if (m->delivered && m->delivered_life == life && at - m->over > kSettled) {
-    breach(Rule::kTwoAnswers, at, m, relay, destination, "a notice for a message that had been delivered");
+    breach(Rule::kTwoFinalAnswers, at, m, relay, destination,
+           "a notice for a message that had been delivered");
   }
   if (m->noticed == 0 && returned && !m->delivered &&
       figures_.classes[m->handing.message_class].effect == Effect::kUnsafe) {
     for (const Attempt& attempt : m->attempts) {
       if (attempt.end && !attempt.may_have_run()) continue;
-      breach(Rule::kRepeated, at, m, relay, destination,
+      breach(Rule::kUnsafeRepeated, at, m, relay, destination,
              text("returned though call %llu may have run", static_cast<unsigned long long>(attempt.call)));
       break;
     }
@@ -543,16 +544,16 @@
 
 // ---- The list ----
 
-void Checker::listed(Time, int endpoint, int destination, Phase) {
+void Checker::on_list_changed(Time, int endpoint, int destination, HostState) {
   endpoints_[endpoint].destination = destination;
 }
 
-void Checker::agent_learned(Time at, int relay, int endpoint, Phase phase) {
-  if (phase != Phase::kActive) relays_[relay].learned.try_emplace(endpoint, at);
+void Checker::on_agent_updated(Time at, int relay, int endpoint, HostState phase) {
+  if (phase != HostState::kActive) relays_[relay].learned.try_emplace(endpoint, at);
 }
 
-void Checker::told(Time at, int relay, int endpoint, Phase phase) {
-  if (phase != Phase::kActive) relays_[relay].drained.try_emplace(endpoint, at);
+void Checker::on_relay_notified(Time at, int relay, int endpoint, HostState phase) {
+  if (phase != HostState::kActive) relays_[relay].drained.try_emplace(endpoint, at);
 }
 
 // When the relay counts as told that the endpoint drains or is gone; 0: not by `at`. What its agent has
@@ -562,9 +563,9 @@
   if (r == relays_.end()) return 0;
   Time since = std::numeric_limits<Time>::max();
   if (const auto learned = r->second.learned.find(endpoint); learned != r->second.learned.end()) {
-    since = learned->second + figures_.told_at_latest;
+    since = learned->second + figures_.max_notify_delay;
     if (const Time moved = r->second.moved; moved != 0 && learned->second <= moved) {
-      since = std::min(since, moved + figures_.told_after_move);
+      since = std::min(since, moved + figures_.max_notify_delay_after_move);
     }
   }
   const auto drained = r->second.drained.find(endpoint);
@@ -574,13 +575,13 @@
 
 // ---- Outages ----
 
-void Checker::outage_began(Time at, int destination) {
+void Checker::on_outage_started(Time at, int destination) {
   Cold cold;
   cold.began = at;
   outages_[destination] = std::move(cold);
 }
 
-void Checker::outage_ended(Time at, int destination, double capacity) {
+void Checker::on_outage_ended(Time at, int destination, double capacity) {
   const auto it = outages_.find(destination);
   if (it == outages_.end()) return;
   it->second.ended = at;
@@ -593,15 +594,15 @@
   if (it == outages_.end() || it->second.ended == 0 || it->second.reported) return;
   Cold& cold = it->second;
   const Time age = at - cold.ended;
-  if (age > figures_.cold) {
+  if (age > figures_.slow_start) {
     outages_.erase(it);
     return;
   }
   cold.load.emplace_back(at, relay);
-  while (cold.load.front().first < at - figures_.fall_window) cold.load.pop_front();
+  while (cold.load.front().first < at - figures_.overload_window) cold.load.pop_front();
   const double warm = figures_.start_capacity + (1 - figures_.start_capacity) * static_cast<double>(age) /
-                                                    static_cast<double>(figures_.cold);
-  const double budget = figures_.fall_multiple * warm * cold.capacity * seconds(figures_.fall_window);
+                                                    static_cast<double>(figures_.slow_start);
+  const double budget = figures_.overload_factor * warm * cold.capacity * seconds(figures_.overload_window);
   const double most = budget + 2 * std::sqrt(budget) + 1;
   if (static_cast<double>(cold.load.size()) <= most) return;
   const auto guilty = std::count_if(cold.load.begin(), cold.load.end(),
@@ -612,14 +613,15 @@
       Rule::kPushedOver, at, nullptr, relay, destination,
       text("%zu calls and probes within %.1f s, %.1f s after its return, where %.1f were its budget; %zu of "
            "them from relays that had seen it fail",
-           cold.load.size(), seconds(figures_.fall_window), seconds(age), most, static_cast<size_t>(guilty)));
+           cold.load.size(), seconds(figures_.overload_window), seconds(age), most,
+           static_cast<size_t>(guilty)));
 }
 
 // ---- Relays ----
 
-void Checker::relay_event(Time at, int number, RelayEvent event) {
+void Checker::on_relay_event(Time at, int number, RelayEvent event) {
   Relay& relay = relays_[number];
-  const bool death = event == RelayEvent::kKilled || event == RelayEvent::kLost ||
+  const bool death = event == RelayEvent::kKilled || event == RelayEvent::kMachineLost ||
                      event == RelayEvent::kEnded || event == RelayEvent::kCrashed;
   if (event == RelayEvent::kCrashed && !std::exchange(relay.over_limit, false)) {
     breach(Rule::kCrash, at, nullptr, number, -1, "its process ended by itself");
@@ -637,10 +639,10 @@
     relay.excused_until = at + figures_.restart_slack;
   }
   if (!death && event != RelayEvent::kReady) return;
-  if (event == RelayEvent::kLost) relay.drained.clear();
+  if (event == RelayEvent::kMachineLost) relay.drained.clear();
   for (const auto& [id, m] : messages_) {
     if (m->handing.relay != number || m->over != 0 || m->taken_on == 0 || m->released) continue;
-    if (event == RelayEvent::kLost) {
+    if (event == RelayEvent::kMachineLost) {
       m->record({at, Happened::kLostWithMachine});
       m->released = true;
       m->over = at;
@@ -652,14 +654,14 @@
 }
 
 // The platform ends a relay over a limit, and counts a crash.
-void Checker::over_limit(Time at, int number, const std::string& what,
-                         const std::vector<std::string>& curve) {
+void Checker::on_limit_exceeded(Time at, int number, const std::string& what,
+                                const std::vector<std::string>& curve) {
   relays_[number].over_limit = true;
   breach(Rule::kCrash, at, nullptr, number, -1, "ended over a limit: " + what);
-  if (breach_count_ <= kMostBreaches) breaches_.back().history = curve;
+  if (breach_count_ <= kMaxViolations) breaches_.back().history = curve;
 }
 
-void Checker::add_breach(Rule rule, Time at, int relay, std::string what) {
+void Checker::add_violation(Rule rule, Time at, int relay, std::string what) {
   breach(rule, at, nullptr, relay, -1, std::move(what));
 }
 
@@ -675,7 +677,7 @@
     if (m == nullptr || m->released) continue;
     for (const Attempt& attempt : m->attempts) {
       if (attempt.call != earlier || attempt.end) continue;
-      breach(Rule::kTwoAtOnce, now, m, m->handing.relay, m->handing.destination,
+      breach(Rule::kTwoAttemptsAtOnce, now, m, m->handing.relay, m->handing.destination,
              text("call %llu was made while call %llu was still out", static_cast<unsigned long long>(call),
                   static_cast<unsigned long long>(earlier)));
     }
--- a/rehearsal/checker.h
+++ b/rehearsal/checker.h
@@ -31,95 +31,95 @@
   Time key_window = 0;  // keyed: how long an endpoint remembers a key
 };
 
-struct Figures {
+struct RuleParameters {
   std::vector<ClassRule> classes;
   int max_attempts = 6;
   Time drain_grace = kSecond;
-  double fall_multiple = 2;
-  Time fall_window = 3 * kSecond;
-  Time cold = 12 * kSecond;
+  double overload_factor = 2;
+  Time overload_window = 3 * kSecond;
+  Time slow_start = 12 * kSecond;
   double start_capacity = 0.21;
   Time tolerance = 50 * kMillisecond;
   Time notice_slack = 300 * kMillisecond;
   Time restart_slack = 1500 * kMillisecond;
-  Time told_at_latest = 6 * kSecond;
-  Time told_after_move = 4 * kSecond;
-  Time wait_crossing = 100 * kMillisecond;
+  Time max_notify_delay = 6 * kSecond;
+  Time max_notify_delay_after_move = 4 * kSecond;
+  Time retry_after_grace = 100 * kMillisecond;
 };
 
 enum class Rule {
-  kLost,        // 1: taken on, and neither delivered nor ended by a notice
-  kLate,        // 1: its notice came after its time
-  kTwoAnswers,  // 1: two final answers
-  kRepeated,    // 2: sent again, or refused, though it may have run
-  kWindow,      // 2: a keyed message sent again after its window
-  kTwoAtOnce,   // 2: two attempts out together
-  kTwoEffects,  // 2: it took effect twice
-  kDrain,       // 3
-  kPushedOver,  // 4
-  kWait,        // 6
-  kAttempts,    // more than a message may have
-  kEndpoint,    // a call to an endpoint of another destination, or for a message that is none
-  kContent,     // body or key changed on the way
-  kCrash,       // a process ended by itself, or was ended over a limit
-  kGrowth,      // its memory goes on growing
-  kExpectation  // of the scenario's own, such as a share that is delivered
+  kLost,               // 1: taken on, and neither delivered nor ended by a notice
+  kNoticeLate,         // 1: its notice came after its time
+  kTwoFinalAnswers,    // 1: two final answers
+  kUnsafeRepeated,     // 2: sent again, or refused, though it may have run
+  kKeyWindow,          // 2: a keyed message sent again after its window
+  kTwoAttemptsAtOnce,  // 2: two attempts out together
+  kTwoEffects,         // 2: it took effect twice
+  kDrain,              // 3
+  kPushedOver,         // 4
+  kWait,               // 6
+  kAttempts,           // more than a message may have
+  kWrongEndpoint,      // a call to an endpoint of another destination, or for a message that is none
+  kContent,            // body or key changed on the way
+  kCrash,              // a process ended by itself, or was ended over a limit
+  kMemoryGrowth,       // its memory goes on growing
+  kExpectation         // of the scenario's own, such as a share that is delivered
 };
 
-int number_of(Rule rule);  // of the six, 0 for the others
-const char* name_of(Rule rule);
+int rule_number(Rule rule);  // of the six, 0 for the others
+const char* rule_name(Rule rule);
 
-struct Breach {
+struct Violation {
   Rule rule = Rule::kLost;
   Time at = 0;
   uint64_t message = 0;  // 0: of no message
   uint64_t id = 0;
   int relay = -1;
   int destination = -1;
-  std::string what;
+  std::string description;
   std::vector<std::string> history;  // of the message, one event a line, milliseconds since the run began
 };
 
-class Checker : public Witness {
+class Checker : public Observer {
  public:
-  Checker(Figures figures, Time start);
+  Checker(RuleParameters figures, Time start);
   ~Checker() override;
 
-  void handed_in(Time at, const Handing& handing, uint64_t body) override;
-  void taken_on(Time at, uint64_t id) override;
-  void turned_away(Time at, uint64_t id, Time after) override;
-  void answered_failed(Time at, uint64_t id, const std::string& line) override;
-  void unanswered(Time at, uint64_t id, Unanswered how) override;
-  void called(Time at, const Call& call) override;
-  void ran(Time at, uint64_t call, bool effect) override;
-  void call_ended(Time at, uint64_t call, CallEnd end, Time wait) override;
-  void probed(Time at, int relay, int endpoint, bool ok) override;
-  void notice(Time at, int relay, uint64_t id, bool returned, Time after) override;
-  void listed(Time at, int endpoint, int destination, Phase phase) override;
-  void agent_learned(Time at, int relay, int endpoint, Phase phase) override;
-  void told(Time at, int relay, int endpoint, Phase phase) override;
-  void outage_began(Time at, int destination) override;
-  void outage_ended(Time at, int destination, double capacity) override;
-  void relay_event(Time at, int relay, RelayEvent event) override;
-  void over_limit(Time at, int relay, const std::string& what,
-                  const std::vector<std::string>& curve) override;
+  void on_submitted(Time at, const Submission& handing, uint64_t body) override;
+  void on_accepted(Time at, uint64_t id) override;
+  void on_refused(Time at, uint64_t id, Time after) override;
+  void on_failed(Time at, uint64_t id, const std::string& line) override;
+  void on_no_reply(Time at, uint64_t id, NoReplyReason how) override;
+  void on_call(Time at, const Call& call) override;
+  void on_executed(Time at, uint64_t call, bool effect) override;
+  void on_call_ended(Time at, uint64_t call, CallEnd end, Time wait) override;
+  void on_probe(Time at, int relay, int endpoint, bool ok) override;
+  void on_notice(Time at, int relay, uint64_t id, bool returned, Time after) override;
+  void on_list_changed(Time at, int endpoint, int destination, HostState phase) override;
+  void on_agent_updated(Time at, int relay, int endpoint, HostState phase) override;
+  void on_relay_notified(Time at, int relay, int endpoint, HostState phase) override;
+  void on_outage_started(Time at, int destination) override;
+  void on_outage_ended(Time at, int destination, double capacity) override;
+  void on_relay_event(Time at, int relay, RelayEvent event) override;
+  void on_limit_exceeded(Time at, int relay, const std::string& what,
+                         const std::vector<std::string>& curve) override;
   // What is judged of a whole run, by others: growth and expectations.
-  void add_breach(Rule rule, Time at, int relay, std::string what);
+  void add_violation(Rule rule, Time at, int relay, std::string what);
 
   // The zero of the times in a breach's history.
-  void begin(Time start) { start_ = start; }
+  void set_start(Time start) { start_ = start; }
   // Judges what is due by now, and forgets what is over.
   void advance(Time now);
   // Nothing more will come: what is still owed and overdue by then is lost.
   void finish(Time now);
 
-  const std::vector<Breach>& breaches() const { return breaches_; }
-  size_t breach_count() const { return breach_count_; }  // past the ones kept in full
-  size_t tracked() const { return messages_.size(); }
-  size_t owed() const { return owed_; }  // taken on and not over
+  const std::vector<Violation>& violations() const { return breaches_; }
+  size_t violation_count() const { return breach_count_; }  // past the ones kept in full
+  size_t tracked_count() const { return messages_.size(); }
+  size_t unresolved_count() const { return owed_; }  // taken on and not over
 
-  static constexpr size_t kMostBreaches = 200;  // kept with their history
-  static constexpr size_t kMostHistory = 60;    // events of one message
+  static constexpr size_t kMaxViolations = 200;    // kept with their history
+  static constexpr size_t kMaxHistoryEvents = 60;  // events of one message
 
  private:
   struct Attempt;
@@ -156,7 +156,7 @@
     bool operator>(const Due& other) const { return at > other.at; }
   };
 
-  Figures figures_;
+  RuleParameters figures_;
   Time start_;
   std::unordered_map<uint64_t, std::unique_ptr<Tracked>> messages_;  // by id
   std::unordered_map<uint64_t, uint64_t> calls_;                     // by number: the id
@@ -168,7 +168,7 @@
   std::map<int, Relay> relays_;
   std::map<int, Endpoint> endpoints_;
   std::map<int, Cold> outages_;
-  std::vector<Breach> breaches_;
+  std::vector<Violation> breaches_;
   size_t breach_count_ = 0;
   size_t owed_ = 0;
 };
--- a/rehearsal/embed.cmake
+++ b/rehearsal/embed.cmake
@@ -1,7 +1,7 @@
 # Writes the scenarios that ship into a source file, so that the program needs no folder beside it.
 set(text "// Written by the build from rehearsal/scenarios.\n#include \"rehearsal/scenario.h\"\n\n")
 string(APPEND text "namespace umberhoist::rehearsal {\n\n")
-string(APPEND text "const std::vector<Shipped>& shipped_scenarios() {\n  static const std::vector<Shipped> all = {\n")
+string(APPEND text "const std::vector<BundledScenario>& bundled_scenarios() {\n  static const std::vector<BundledScenario> all = {\n")
 foreach(file IN LISTS FILES)
   get_filename_component(name ${file} NAME_WE)
   file(READ ${file} body)
--- a/rehearsal/ledger.cpp
+++ b/rehearsal/ledger.cpp
@@ -35,7 +35,7 @@
   return 0;
 }
 
-struct Ledger::Open {
+struct MessageTracker::Open {
   ArrivalPlan arrival;
   Time at = 0;
   Time due = 0;
@@ -52,15 +52,15 @@
   bool honours = true;
 };
 
-Ledger::Ledger(const Scenario& scenario, uint64_t seed, Schedule schedule)
+MessageTracker::MessageTracker(const Scenario& scenario, uint64_t seed, ScheduleResubmission schedule)
     : scenario_(scenario), random_(seed), schedule_(std::move(schedule)) {
   for (const ClassSpec& c : scenario.classes) tallies_.emplace_back().name = c.name;
   for (const TenantSpec& t : scenario.tenants) tenants_.emplace_back().name = t.name;
 }
 
-Ledger::~Ledger() = default;
+MessageTracker::~MessageTracker() = default;
 
-Second& Ledger::second(Time at) {
+SecondCounts& MessageTracker::second(Time at) {
   const auto index = static_cast<size_t>(std::max<Time>(0, at - start_) / kSecond);
   while (seconds_.size() <= index) {
     seconds_.emplace_back();
@@ -69,19 +69,19 @@
   return seconds_[index];
 }
 
-std::vector<Tally*> Ledger::tallies_of(const ArrivalPlan& arrival) {
-  std::vector<Tally*> out{&tallies_[arrival.message_class]};
+std::vector<MessageCounts*> MessageTracker::tallies_of(const ArrivalPlan& arrival) {
+  std::vector<MessageCounts*> out{&tallies_[arrival.message_class]};
   if (!tenants_.empty()) out.push_back(&tenants_[arrival.tenant]);
   return out;
 }
 
-Ledger::Open* Ledger::find(uint64_t id) {
+MessageTracker::Open* MessageTracker::find(uint64_t id) {
   const auto it = ids_.find(id);
   if (it == ids_.end()) return nullptr;
   return &open_.at(it->second);
 }
 
-void Ledger::arrived(Time at, const ArrivalPlan& arrival, Time due) {
+void MessageTracker::on_arrival(Time at, const ArrivalPlan& arrival, Time due) {
   Open open;
   open.arrival = arrival;
   open.at = at;
@@ -90,10 +90,10 @@
   open_.emplace(arrival.message, open);
   ++messages_;
   ++second(at).arrivals;
-  for (Tally* tally : tallies_of(arrival)) ++tally->asked;
+  for (MessageCounts* tally : tallies_of(arrival)) ++tally->requested;
 }
 
-void Ledger::bind(uint64_t id, uint32_t message, int relay) {
+void MessageTracker::bind_id(uint64_t id, uint32_t message, int relay) {
   const auto it = open_.find(message);
   if (it == open_.end()) return;
   it->second.id = id;
@@ -104,17 +104,17 @@
   ids_[id] = message;
 }
 
-void Ledger::handed_in(Time at, const Handing&, uint64_t) {
+void MessageTracker::on_submitted(Time at, const Submission&, uint64_t) {
   ++handings_;
-  ++second(at).handed_in;
+  ++second(at).submitted;
 }
 
-void Ledger::not_reached(Time at, const Handing& handing) {
+void MessageTracker::on_connect_failed(Time at, const Submission& handing) {
   Open* open = find(handing.id);
   if (open != nullptr) come_again(at, *open, kReachAgain, false);
 }
 
-void Ledger::taken_on(Time, uint64_t id) {
+void MessageTracker::on_accepted(Time, uint64_t id) {
   Open* open = find(id);
   if (open == nullptr || open->held) return;
   open->held = true;
@@ -122,25 +122,25 @@
 }
 
 // The present id is done with; the message stays its client's.
-void Ledger::release(Open& open) {
+void MessageTracker::release(Open& open) {
   if (open.held) --held_;
   open.held = false;
   ids_.erase(open.id);
   open.id = 0;
 }
 
-void Ledger::come_again(Time at, Open& open, Time after, bool after_death) {
-  Again again;
+void MessageTracker::come_again(Time at, Open& open, Time after, bool after_death) {
+  Resubmission again;
   again.arrival = open.arrival;
   again.due = open.due;
-  again.after_death = after_death;
-  again.not_to = open.relay;
+  again.after_relay_exit = after_death;
+  again.excluded_relay = open.relay;
   release(open);
   if (at + after + kTooSoon >= open.due) return finish(at, again.arrival.message, How::kUnanswered);
   schedule_(at + after, again);
 }
 
-void Ledger::turned_away(Time at, uint64_t id, Time after) {
+void MessageTracker::on_refused(Time at, uint64_t id, Time after) {
   Open* open = find(id);
   if (open == nullptr) return;
   ++second(at).refusals;
@@ -157,23 +157,23 @@
   come_again(at, *open, wait, false);
 }
 
-void Ledger::answered_failed(Time at, uint64_t id, const std::string&) {
+void MessageTracker::on_failed(Time at, uint64_t id, const std::string&) {
   const Open* open = find(id);
   if (open != nullptr) finish(at, open->arrival.message, How::kFailed);
 }
 
-void Ledger::unanswered(Time at, uint64_t id, Unanswered how) {
+void MessageTracker::on_no_reply(Time at, uint64_t id, NoReplyReason how) {
   Open* open = find(id);
   if (open == nullptr) return;
   if (++open->again > kMostAgain) return finish(at, open->arrival.message, How::kUnanswered);
   const Time wait =
-      how == Unanswered::kGaveUp
+      how == NoReplyReason::kTimeout
           ? kTooSoon
           : static_cast<Time>(random_.between(scenario_.again_s.low, scenario_.again_s.high) * 1e6);
   come_again(at, *open, wait, true);
 }
 
-void Ledger::called(Time at, const Call& call) {
+void MessageTracker::on_call(Time at, const Call& call) {
   ++attempts_;
   ++second(at).attempts;
   Open* open = find(call.id);
@@ -184,7 +184,7 @@
   calls_[call.number] = call.id;
 }
 
-void Ledger::call_ended(Time at, uint64_t number, CallEnd end, Time) {
+void MessageTracker::on_call_ended(Time at, uint64_t number, CallEnd end, Time) {
   const auto call = calls_.find(number);
   if (call == calls_.end()) return;
   Open* open = find(call->second);
@@ -192,21 +192,21 @@
   if (open == nullptr) return;
   --open->out;
   if (end == CallEnd::kDelivered) return finish(at, open->arrival.message, How::kDelivered);
-  if (end == CallEnd::kTurnedAway || end == CallEnd::kOver) return;
+  if (end == CallEnd::kRefused || end == CallEnd::kMessageOver) return;
   open->may_have_run = true;
   if (open->key_since == 0) open->key_since = open->called;
 }
 
-void Ledger::notice(Time at, int, uint64_t id, bool returned, Time after) {
+void MessageTracker::on_notice(Time at, int, uint64_t id, bool returned, Time after) {
   const Open* open = find(id);
   if (open == nullptr) return;
-  if (returned) return turned_away(at, id, after);
+  if (returned) return on_refused(at, id, after);
   finish(at, open->arrival.message, How::kFailed);
 }
 
 // What was lost with its machine comes again, unless it may have taken effect and may not be repeated.
-void Ledger::relay_event(Time at, int relay, RelayEvent event) {
-  if (event != RelayEvent::kLost) return;
+void MessageTracker::on_relay_event(Time at, int relay, RelayEvent event) {
+  if (event != RelayEvent::kMachineLost) return;
   std::vector<uint32_t> lost;
   for (const auto& [message, open] : open_) {
     if (open.relay == relay && open.id != 0 && open.held) lost.push_back(message);
@@ -225,27 +225,28 @@
   }
 }
 
-double Ledger::worth_of(const ClassSpec& spec, Time took) const {
+double MessageTracker::worth_of(const ClassSpec& spec, Time took) const {
   const double aims = static_cast<double>(took) / 1e6 / spec.aim_s;
   if (aims <= 1) return spec.worth;
-  if (scenario_.late == Late::kHalves) return spec.worth * std::max(spec.late_worth, std::pow(0.5, aims - 1));
+  if (scenario_.late == LateWorthDecay::kHalving)
+    return spec.worth * std::max(spec.late_worth, std::pow(0.5, aims - 1));
   const double late = (aims - 1) * spec.aim_s / std::max(1e-6, spec.give_up_s - spec.aim_s);
   return spec.worth * std::max(spec.late_worth, 1 - (1 - spec.late_worth) * late);
 }
 
-void Ledger::finish(Time at, uint32_t message, How how) {
+void MessageTracker::finish(Time at, uint32_t message, How how) {
   const auto it = open_.find(message);
   if (it == open_.end()) return;
   Open& open = it->second;
   const ClassSpec& spec = scenario_.classes[open.arrival.message_class];
   const auto tallies = tallies_of(open.arrival);
-  Second& now = second(at);
-  uint64_t Tally::*count = nullptr;
+  SecondCounts& now = second(at);
+  uint64_t MessageCounts::*count = nullptr;
   switch (how) {
     case How::kDelivered: {
       const Time took = at - open.at;
-      count = static_cast<double>(took) <= spec.aim_s * 1e6 ? &Tally::in_time : &Tally::late;
-      for (Tally* tally : tallies) {
+      count = static_cast<double>(took) <= spec.aim_s * 1e6 ? &MessageCounts::in_time : &MessageCounts::late;
+      for (MessageCounts* tally : tallies) {
         tally->worth += worth_of(spec, took);
         tally->latency.add(took);
       }
@@ -254,32 +255,32 @@
       break;
     }
     case How::kRefused:
-      count = &Tally::refused;
+      count = &MessageCounts::refused;
       break;
     case How::kFailed:
-      count = &Tally::failed;
+      count = &MessageCounts::failed;
       break;
     case How::kLost:
-      count = &Tally::lost;
+      count = &MessageCounts::lost;
       break;
     case How::kUnanswered:
-      count = &Tally::unanswered;
+      count = &MessageCounts::unanswered;
       break;
   }
-  for (Tally* tally : tallies) ++(tally->*count);
+  for (MessageCounts* tally : tallies) ++(tally->*count);
   if (how != How::kDelivered) ++(how == How::kRefused ? now.refused : now.failed);
   release(open);
   open_.erase(it);
 }
 
-bool Ledger::is_over(uint64_t id) const { return !ids_.contains(id); }
+bool MessageTracker::is_finished(uint64_t id) const { return !ids_.contains(id); }
 
-int Ledger::attempts_of(uint64_t id) const {
+int MessageTracker::attempt_count(uint64_t id) const {
   const auto it = ids_.find(id);
   return it == ids_.end() ? 0 : open_.at(it->second).attempts;
 }
 
-void Ledger::expire(Time now) {
+void MessageTracker::expire(Time now) {
   std::vector<uint32_t> past;
   for (const auto& [message, open] : open_) {
     if (open.due < now && open.out == 0) past.push_back(message);
--- a/rehearsal/ledger.h
+++ b/rehearsal/ledger.h
@@ -26,10 +26,10 @@
   uint64_t count_ = 0;
 };
 
-struct Second {
+struct SecondCounts {
   std::vector<uint32_t> delivered;  // by class
   uint32_t arrivals = 0;
-  uint32_t handed_in = 0;
+  uint32_t submitted = 0;
   uint32_t refusals = 0;  // each, also those that the client came again after
   uint32_t refused = 0;   // for good
   uint32_t failed = 0;
@@ -37,9 +37,9 @@
   Histogram latency;
 };
 
-struct Tally {  // of a class, or of a tenant
+struct MessageCounts {  // of a class, or of a tenant
   std::string name;
-  uint64_t asked = 0;
+  uint64_t requested = 0;
   uint64_t in_time = 0;
   uint64_t late = 0;
   uint64_t refused = 0;
@@ -50,58 +50,59 @@
   Histogram latency;
 };
 
-class Ledger : public Witness {
+class MessageTracker : public Observer {
  public:
-  struct Again {  // hand it in again, under a new id
+  struct Resubmission {  // hand it in again, under a new id
     ArrivalPlan arrival;
     Time due = 0;
-    bool after_death = false;  // again=1
-    int not_to = -1;           // this relay, if another is in use
+    bool after_relay_exit = false;  // again=1
+    int excluded_relay = -1;        // this relay, if another is in use
   };
-  using Schedule = std::function<void(Time at, const Again&)>;
+  using ScheduleResubmission = std::function<void(Time at, const Resubmission&)>;
 
-  Ledger(const Scenario& scenario, uint64_t seed, Schedule schedule);
-  ~Ledger() override;
+  MessageTracker(const Scenario& scenario, uint64_t seed, ScheduleResubmission schedule);
+  ~MessageTracker() override;
 
-  void begin(Time start) { start_ = start; }
+  void set_start(Time start) { start_ = start; }
   // A message's first time; then each handing-in under its id.
-  void arrived(Time at, const ArrivalPlan& arrival, Time due);
-  void bind(uint64_t id, uint32_t message, int relay);
-
-  void handed_in(Time at, const Handing& handing, uint64_t body) override;
-  void not_reached(Time at, const Handing& handing) override;
-  void taken_on(Time at, uint64_t id) override;
-  void turned_away(Time at, uint64_t id, Time after) override;
-  void answered_failed(Time at, uint64_t id, const std::string& line) override;
-  void unanswered(Time at, uint64_t id, Unanswered how) override;
-  void called(Time at, const Call& call) override;
-  void call_ended(Time at, uint64_t call, CallEnd end, Time wait) override;
-  void notice(Time at, int relay, uint64_t id, bool returned, Time after) override;
-  void relay_event(Time at, int relay, RelayEvent event) override;
+  void on_arrival(Time at, const ArrivalPlan& arrival, Time due);
+  void bind_id(uint64_t id, uint32_t message, int relay);
+
+  void on_submitted(Time at, const Submission& handing, uint64_t body) override;
+  void on_connect_failed(Time at, const Submission& handing) override;
+  void on_accepted(Time at, uint64_t id) override;
+  void on_refused(Time at, uint64_t id, Time after) override;
+  void on_failed(Time at, uint64_t id, const std::string& line) override;
+  void on_no_reply(Time at, uint64_t id, NoReplyReason how) override;
+  void on_call(Time at, const Call& call) override;
+  void on_call_ended(Time at, uint64_t call, CallEnd end, Time wait) override;
+  void on_notice(Time at, int relay, uint64_t id, bool returned, Time after) override;
+  void on_relay_event(Time at, int relay, RelayEvent event) override;
 
   // For the endpoints' gate: the message of this id is over, or its client has given that id up.
-  bool is_over(uint64_t id) const;
-  int attempts_of(uint64_t id) const;
+  bool is_finished(uint64_t id) const;
+  int attempt_count(uint64_t id) const;
 
-  size_t open() const { return open_.size(); }
-  size_t held() const { return held_; }
+  size_t open_count() const { return open_.size(); }
+  size_t held_count() const { return held_; }
   // Ends what is open past its time: its client has no more use for it.
   void expire(Time now);
 
-  const std::vector<Tally>& tallies() const { return tallies_; }  // by class
-  const std::vector<Tally>& tenants() const { return tenants_; }
-  const std::vector<Second>& seconds() const { return seconds_; }
-  uint64_t messages() const { return messages_; }
-  uint64_t handings() const { return handings_; }
-  uint64_t attempts() const { return attempts_; }
+  const std::vector<MessageCounts>& class_counts() const { return tallies_; }  // by class
+  const std::vector<MessageCounts>& tenant_counts() const { return tenants_; }
+  const std::vector<SecondCounts>& per_second() const { return seconds_; }
+  uint64_t message_count() const { return messages_; }
+  uint64_t submission_count() const { return handings_; }
+  uint64_t total_attempts() const { return attempts_; }
 
  private:
   struct Open;
   enum class How { kDelivered, kRefused, kFailed, kLost, kUnanswered };
 
-  Second& second(Time at);
+  SecondCounts& second(Time at);
   Open* find(uint64_t id);
-  std::vector<Tally*> tallies_of(const ArrivalPlan& arrival);  // its class, and its tenant if there is one
+  std::vector<MessageCounts*> tallies_of(
+      const ArrivalPlan& arrival);  // its class, and its tenant if there is one
   double worth_of(const ClassSpec& spec, Time took) const;
   void finish(Time at, uint32_t message, How how);
   void come_again(Time at, Open& open, Time after, bool after_death);
@@ -109,14 +110,14 @@
 
   const Scenario& scenario_;
   Random random_;
-  Schedule schedule_;
+  ScheduleResubmission schedule_;
   Time start_ = 0;
   std::unordered_map<uint32_t, Open> open_;
   std::unordered_map<uint64_t, uint32_t> ids_;  // the present one of each open message
   std::unordered_map<uint64_t, uint64_t> calls_;
-  std::vector<Tally> tallies_;
-  std::vector<Tally> tenants_;
-  std::vector<Second> seconds_;
+  std::vector<MessageCounts> tallies_;
+  std::vector<MessageCounts> tenants_;
+  std::vector<SecondCounts> seconds_;
   size_t held_ = 0;
   uint64_t messages_ = 0;
   uint64_t handings_ = 0;
--- a/rehearsal/main.cpp
+++ b/rehearsal/main.cpp
@@ -19,7 +19,7 @@
   return error ? std::filesystem::path(".") : self.parent_path();
 }
 
-int run(const std::string& name, const std::vector<std::string>& sets, Options options, bool seed_given,
+int run(const std::string& name, const std::vector<std::string>& sets, RunOptions options, bool seed_given,
         bool temporary) {
   const Scenario scenario = load_scenario(name, sets);
   if (!seed_given) options.seed = scenario.seed;
@@ -28,16 +28,16 @@
     throw ScenarioError("--relay " + options.relay +
                         ": expected the program umberhoist, built and executable");
   }
-  const Outcome outcome = rehearse(scenario, options);
+  const RunReport outcome = run_rehearsal(scenario, options);
   std::fputs(summary(scenario, options, outcome).c_str(), stdout);
-  if (temporary && outcome.result == Result::kKept) {
+  if (temporary && outcome.verdict == RunVerdict::kPassed) {
     std::error_code ignored;
     std::filesystem::remove_all(options.folder, ignored);
   } else {
     write_report(scenario, options, outcome);
     std::printf("report: %s\n", (options.folder / "report.html").c_str());
   }
-  return static_cast<int>(outcome.result);
+  return static_cast<int>(outcome.verdict);
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
   app.require_subcommand(1);
   std::string scenario, report;
   std::vector<std::string> sets;
-  Options options;
+  RunOptions options;
   options.relay = own_folder() / "umberhoist";
   bool quiet = false;
   CLI::App* play = app.add_subcommand("run", "play a scenario: a file, or the name of one that ships");
@@ -72,11 +72,12 @@
   }
   try {
     if (list->parsed()) {
-      for (const Shipped& s : shipped_scenarios()) std::printf("%-18s %s\n", s.name.c_str(), s.title.c_str());
+      for (const BundledScenario& s : bundled_scenarios())
+        std::printf("%-18s %s\n", s.name.c_str(), s.title.c_str());
       return 0;
     }
     if (show->parsed()) {
-      for (const Shipped& s : shipped_scenarios()) {
+      for (const BundledScenario& s : bundled_scenarios()) {
         if (s.name == scenario) return std::fputs(s.text.c_str(), stdout) < 0;
       }
       throw ScenarioError(scenario + ": expected the name of a scenario that ships; see 'list'");
@@ -85,7 +86,7 @@
       const Scenario read = load_scenario(scenario, sets);
       const Plan plan = make_plan(read, read.seed);
       std::printf("%s%zu arrivals, %d calls out and %d messages held at most by each relay, digest %s\n",
-                  explain(read).c_str(), plan.arrivals.size(), plan.slots, plan.max_open,
+                  describe(read).c_str(), plan.arrivals.size(), plan.slots, plan.max_open,
                   umberhoist::hex(plan.digest).c_str());
       return 0;
     }
--- a/rehearsal/plan.cpp
+++ b/rehearsal/plan.cpp
@@ -76,19 +76,19 @@
         static_cast<int>(std::lround(kind.endpoints.low + (kind.endpoints.high - kind.endpoints.low) *
                                                               std::min(busy, random.unit() + busy / 2)));
     p.endpoints = std::max(1, p.endpoints);
-    p.service = static_cast<Time>(random.between(kind.service_ms.low, kind.service_ms.high) * 1e3);
+    p.mean_service_time = static_cast<Time>(random.between(kind.service_ms.low, kind.service_ms.high) * 1e3);
     p.cv = kind.cv;
     const double wanted = std::max(kind.least_rate, full * kind.spare);
-    p.places =
-        std::max(p.endpoints, static_cast<int>(std::ceil(wanted * static_cast<double>(p.service) / 1e6)));
-    p.capacity = p.places / (static_cast<double>(p.service) / 1e6);
+    p.concurrency = std::max(
+        p.endpoints, static_cast<int>(std::ceil(wanted * static_cast<double>(p.mean_service_time) / 1e6)));
+    p.capacity = p.concurrency / (static_cast<double>(p.mean_service_time) / 1e6);
     p.limit = kind.limit;
     if (p.limit != Limit::kNone) {
       p.limit_rate = std::min(p.capacity, std::max(kind.least_rate, full * kind.headroom));
     }
-    p.span = micro(random.between(kind.span_s.low, kind.span_s.high));
-    p.told_rate = p.limit == Limit::kNone ? p.capacity : p.limit_rate;
-    p.queue = micro(kind.queue_s);
+    p.limit_window = micro(random.between(kind.span_s.low, kind.span_s.high));
+    p.advertised_rate = p.limit == Limit::kNone ? p.capacity : p.limit_rate;
+    p.max_queue_wait = micro(kind.queue_s);
     p.seed = random.bits();
   }
 }
@@ -120,7 +120,8 @@
       out.partner = static_cast<uint16_t>(std::min<size_t>(
           sums.size() - 1, std::upper_bound(sums.begin(), sums.end(), random.unit()) - sums.begin()));
     }
-    out.body = static_cast<uint32_t>(random.between(s.load.body_bytes.low, s.load.body_bytes.high + 0.999));
+    out.body_bytes =
+        static_cast<uint32_t>(random.between(s.load.body_bytes.low, s.load.body_bytes.high + 0.999));
     plan.arrivals.push_back(out);
   };
   // A clump holds what one partner takes in its span; clumps come as often as their share of all asks for.
@@ -133,7 +134,7 @@
     while (true) {
       const size_t partner = random.below(plan.partners.size());
       const double takes =
-          plan.partners[partner].told_rate * random.between(s.load.clump_s.low, s.load.clump_s.high);
+          plan.partners[partner].advertised_rate * random.between(s.load.clump_s.low, s.load.clump_s.high);
       const auto count = std::max<size_t>(2, static_cast<size_t>(takes));
       t += random.exponential(static_cast<double>(count) / (s.load.rate * s.load.clump_share));
       if (t >= s.seconds) break;
@@ -199,19 +200,19 @@
   const auto add = [&](const EventSpec& event, Action action, Time at, int relay) {
     EventPlan out;
     out.at = at;
-    out.lasts = micro(event.for_s);
+    out.duration = micro(event.for_s);
     out.action = action;
     if (action <= Action::kWithdraw) out.partners = targets_of(s, plan, event, random);
     out.relay = relay;
     out.amount = event.amount;
-    out.wait_told = event.wait_told;
+    out.sends_retry_after = event.wait_told;
     out.same_address = event.same_address;
-    out.lingers = micro(event.linger_s);
+    out.linger = micro(event.linger_s);
     out.seed = random.bits();
-    out.text = action_name(action);
-    if (!event.kind.empty()) out.text += " " + event.kind;
-    if (relay >= 0) out.text += " relay " + std::to_string(relay);
-    if (!out.partners.empty()) out.text += " (" + std::to_string(out.partners.size()) + " partners)";
+    out.description = action_name(action);
+    if (!event.kind.empty()) out.description += " " + event.kind;
+    if (relay >= 0) out.description += " relay " + std::to_string(relay);
+    if (!out.partners.empty()) out.description += " (" + std::to_string(out.partners.size()) + " partners)";
     plan.events.push_back(std::move(out));
   };
   for (const EventSpec& event : s.events) {
@@ -249,10 +250,10 @@
   Digest out;
   for (const PartnerPlan& p : plan.partners) {
     out.add(static_cast<uint64_t>(p.kind)).add(static_cast<uint64_t>(p.endpoints));
-    out.add(static_cast<uint64_t>(p.service)).add(static_cast<uint64_t>(p.places)).add(p.seed);
+    out.add(static_cast<uint64_t>(p.mean_service_time)).add(static_cast<uint64_t>(p.concurrency)).add(p.seed);
   }
   for (const ArrivalPlan& a : plan.arrivals) {
-    out.add(static_cast<uint64_t>(a.at)).add(a.message_class).add(a.partner).add(a.body);
+    out.add(static_cast<uint64_t>(a.at)).add(a.message_class).add(a.partner).add(a.body_bytes);
   }
   for (const ArrivalPlan& a : plan.arrivals) {
     if (a.tenant != 0) out.add(a.message).add(a.tenant);
@@ -288,7 +289,7 @@
   resolve_events(s, plan, events);
   double busy = 0;
   for (const PartnerPlan& p : plan.partners) {
-    busy += p.traffic * s.load.rate * s.load.full * static_cast<double>(p.service) / 1e6;
+    busy += p.traffic * s.load.rate * s.load.full * static_cast<double>(p.mean_service_time) / 1e6;
   }
   plan.slots = std::max(s.least_slots, static_cast<int>(std::ceil(busy / s.relays * s.slots_room)));
   plan.max_open =
--- a/rehearsal/plan.h
+++ b/rehearsal/plan.h
@@ -15,15 +15,15 @@
   int kind = 0;
   double traffic = 0;  // share of all messages
   int endpoints = 1;
-  Time service = 0;  // mean time of a call
+  Time mean_service_time = 0;  // mean time of a call
   double cv = 0;
-  int places = 1;       // calls served at once, over all endpoints
+  int concurrency = 1;  // calls served at once, over all endpoints
   double capacity = 0;  // calls a second
   Limit limit = Limit::kNone;
-  double limit_rate = 0;  // calls a second, where there is a limit
-  Time span = 0;          // of a windowed limit
-  double told_rate = 0;   // what the list says of it
-  Time queue = 0;         // a call may wait so long for a place
+  double limit_rate = 0;       // calls a second, where there is a limit
+  Time limit_window = 0;       // of a windowed limit
+  double advertised_rate = 0;  // what the list says of it
+  Time max_queue_wait = 0;     // a call may wait so long for a place
   uint64_t seed = 0;
 };
 
@@ -32,22 +32,22 @@
   uint32_t message = 0;
   uint16_t message_class = 0;
   uint16_t partner = 0;
-  uint16_t tenant = 0;  // of the scenario's, if it has any
-  uint32_t body = 0;    // bytes
+  uint16_t tenant = 0;      // of the scenario's, if it has any
+  uint32_t body_bytes = 0;  // bytes
 };
 
 struct EventPlan {
   Time at = 0;
-  Time lasts = 0;
+  Time duration = 0;
   Action action = Action::kSilent;
   std::vector<int> partners;
   int relay = -1;
   double amount = 0;
-  bool wait_told = false;
+  bool sends_retry_after = false;
   bool same_address = true;
-  Time lingers = 0;
+  Time linger = 0;
   uint64_t seed = 0;
-  std::string text;  // for people
+  std::string description;  // for people
 };
 
 struct Plan {
--- a/rehearsal/relay_config.cpp
+++ b/rehearsal/relay_config.cpp
@@ -41,7 +41,7 @@
                           {{"calls_out", plan.slots},
                            {"kind_apart", apart},
                            {"kind_batch", batch},
-                           {"late", s.late == Late::kLine ? "line" : "halves"}}},
+                           {"late", s.late == LateWorthDecay::kLinear ? "line" : "halves"}}},
                          {"bounds",
                           {{"open_cap", plan.max_open},
                            {"max_attempts", s.max_attempts},
@@ -55,11 +55,11 @@
                            {"retry_after", true}}},
                          {"obligations",
                           {{"answer_slack_s", 0.1},
-                           {"stop_sending_within_s", seconds(s.figures.drain_grace)},
-                           {"cold_s", seconds(s.figures.cold)},
-                           {"fall_s", seconds(s.figures.fall_window)},
-                           {"fall_multiple", s.figures.fall_multiple},
-                           {"start_capacity", s.figures.start_capacity}}},
+                           {"stop_sending_within_s", seconds(s.rule_parameters.drain_grace)},
+                           {"cold_s", seconds(s.rule_parameters.slow_start)},
+                           {"fall_s", seconds(s.rule_parameters.overload_window)},
+                           {"fall_multiple", s.rule_parameters.overload_factor},
+                           {"start_capacity", s.rule_parameters.start_capacity}}},
                          {"realms", tenants},
                          {"over_share_worth", s.over_share_worth},
                          {"discovery", "push"},
@@ -81,8 +81,8 @@
           {"settings", settings}};
 }
 
-std::string fleet_file(const Scenario& s, int relay, const std::vector<std::string>& addresses,
-                       const std::string& folder) {
+std::string fleet_config(const Scenario& s, int relay, const std::vector<std::string>& addresses,
+                         const std::string& folder) {
   const auto index = static_cast<size_t>(relay);
   std::string out = "name = \"n" + std::to_string(relay) + "\"\nid = " + std::to_string(relay + 1) +
                     "\nlisten = \"" + addresses[index] + "\"\nfolder = \"" + folder + "\"\nzone = \"" +
--- a/rehearsal/relay_config.h
+++ b/rehearsal/relay_config.h
@@ -15,8 +15,8 @@
                             const std::string& known);
 
 // fleet.toml of a relay. `addresses`: of all relays, in their order; `folder`: its register's.
-std::string fleet_file(const Scenario& scenario, int relay, const std::vector<std::string>& addresses,
-                       const std::string& folder);
+std::string fleet_config(const Scenario& scenario, int relay, const std::vector<std::string>& addresses,
+                         const std::string& folder);
 
 std::string zone_name(int zone);
 
--- a/rehearsal/report.cpp
+++ b/rehearsal/report.cpp
@@ -20,11 +20,11 @@
   return out;
 }
 
-const char* verdict(Result result) {
+const char* verdict(RunVerdict result) {
   switch (result) {
-    case Result::kKept:
+    case RunVerdict::kPassed:
       return "all rules kept";
-    case Result::kBroken:
+    case RunVerdict::kViolated:
       return "RULES BROKEN";
     default:
       return "inconclusive";
@@ -35,32 +35,32 @@
   return whole == 0 ? 0 : 100.0 * static_cast<double>(part) / static_cast<double>(whole);
 }
 
-std::string breach_line(const Breach& b, bool doubtful) {
-  std::string out = std::string(name_of(b.rule));
-  if (number_of(b.rule) > 0) out += " (rule " + std::to_string(number_of(b.rule)) + ")";
+std::string breach_line(const Violation& b, bool doubtful) {
+  std::string out = std::string(rule_name(b.rule));
+  if (rule_number(b.rule) > 0) out += " (rule " + std::to_string(rule_number(b.rule)) + ")";
   if (doubtful) out += " [doubtful: the kit ran late]";
   if (b.relay >= 0) out += ", relay " + std::to_string(b.relay);
   if (b.destination >= 0) out += ", partner p" + std::to_string(b.destination);
   if (b.message != 0) out += ", message " + std::to_string(b.message) + " id " + hex(b.id);
-  return out + ": " + b.what;
+  return out + ": " + b.description;
 }
 
-std::map<std::string, size_t> by_rule(const Outcome& o) {
+std::map<std::string, size_t> by_rule(const RunReport& o) {
   std::map<std::string, size_t> out;
-  for (const Breach& b : o.breaches) ++out[name_of(b.rule)];
+  for (const Violation& b : o.violations) ++out[rule_name(b.rule)];
   return out;
 }
 
-double worth_share(const Scenario& s, const Outcome& o) {
+double worth_share(const Scenario& s, const RunReport& o) {
   double earned = 0, asked = 0;
-  for (size_t i = 0; i < o.tallies.size(); ++i) {
-    earned += o.tallies[i].worth;
-    asked += s.classes[i].worth * static_cast<double>(o.tallies[i].asked);
+  for (size_t i = 0; i < o.class_counts.size(); ++i) {
+    earned += o.class_counts[i].worth;
+    asked += s.classes[i].worth * static_cast<double>(o.class_counts[i].requested);
   }
   return asked > 0 ? earned / asked : 0;
 }
 
-Time relay_cpu(const Outcome& o) {
+Time relay_cpu(const RunReport& o) {
   Time out = 0;
   for (const Sample& s : o.samples) {
     for (const RelaySample& r : s.relays) out += r.cpu;
@@ -74,19 +74,19 @@
   int descriptors = 0, sockets = 0;
 };
 
-Most most_used(const Outcome& o) {
+Most most_used(const RunReport& o) {
   Most out;
-  for (const RelayUse& use : o.use) {
-    out.memory = std::max(out.memory, static_cast<double>(use.memory) / 1e6);
-    out.disk = std::max(out.disk, static_cast<double>(use.highest.disk) / 1e6);
-    out.descriptors = std::max(out.descriptors, use.highest.descriptors);
-    out.sockets = std::max(out.sockets, use.highest.sockets);
-    out.busiest = std::max(out.busiest, use.busiest);
+  for (const RelayUsage& use : o.relay_usage) {
+    out.memory = std::max(out.memory, static_cast<double>(use.peak_memory) / 1e6);
+    out.disk = std::max(out.disk, static_cast<double>(use.peak.disk) / 1e6);
+    out.descriptors = std::max(out.descriptors, use.peak.descriptors);
+    out.sockets = std::max(out.sockets, use.peak.sockets);
+    out.busiest = std::max(out.busiest, use.peak_cpu_share);
   }
   return out;
 }
 
-std::string limits_table(const Scenario& s, const Outcome& o) {
+std::string limits_table(const Scenario& s, const RunReport& o) {
   const Most most = most_used(o);
   return text(
       "the most of one relay: %.1f of %d MB memory, %.3f of %.3f MB disk, %d of %d descriptors, %d sockets, "
@@ -124,19 +124,19 @@
                                     "#8a7a22", "#5b5b5b", "#1b9ba0", "#b03030"};
 
 // The events of the script as marks along the top: a bar as long as each lasts, and its name when pointed at.
-std::string marks(const Outcome& o, double span, double left, double width, double top, double height) {
+std::string marks(const RunReport& o, double span, double left, double width, double top, double height) {
   std::string out;
   for (const EventPlan& e : o.events) {
     const double x = left + width * std::min(1.0, static_cast<double>(e.at) / 1e6 / span);
-    const double w = std::max(1.5, width * static_cast<double>(e.lasts) / 1e6 / span);
+    const double w = std::max(1.5, width * static_cast<double>(e.duration) / 1e6 / span);
     out += text("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" class=\"mark\"><title>", x, top,
                 std::min(w, left + width - x), height) +
-           escape(text("%.1f s: ", static_cast<double>(e.at) / 1e6) + e.text) + "</title></rect>";
+           escape(text("%.1f s: ", static_cast<double>(e.at) / 1e6) + e.description) + "</title></rect>";
   }
   return out;
 }
 
-std::string plot(const Outcome& o, const std::string& title, const std::string& unit,
+std::string plot(const RunReport& o, const std::string& title, const std::string& unit,
                  const std::vector<Series>& all) {
   constexpr double kWidth = 860, kHeight = 190, kLeft = 56, kRight = 12, kTop = 12, kBottom = 24;
   size_t count = 2;
@@ -184,44 +184,44 @@
 }
 
 template <class Get>
-std::vector<double> per_second(const Outcome& o, Get get) {
+std::vector<double> per_second(const RunReport& o, Get get) {
   std::vector<double> out;
-  for (const Second& s : o.by_second) out.push_back(get(s));
+  for (const SecondCounts& s : o.per_second) out.push_back(get(s));
   return out;
 }
 
 template <class Get>
-std::vector<double> per_sample(const Outcome& o, Get get) {
+std::vector<double> per_sample(const RunReport& o, Get get) {
   std::vector<double> out;
   for (const Sample& s : o.samples) out.push_back(get(s));
   return out;
 }
 
-std::string plots(const Scenario& s, const Outcome& o) {
+std::string plots(const Scenario& s, const RunReport& o) {
   std::string out;
   std::vector<Series> flow = {
-      {"arrivals", per_second(o, [](const Second& x) { return double(x.arrivals); })}};
+      {"arrivals", per_second(o, [](const SecondCounts& x) { return double(x.arrivals); })}};
   for (size_t c = 0; c < s.classes.size(); ++c) {
     flow.push_back({"delivered, " + s.classes[c].name,
-                    per_second(o, [c](const Second& x) { return double(x.delivered[c]); })});
+                    per_second(o, [c](const SecondCounts& x) { return double(x.delivered[c]); })});
   }
   out += plot(o, "Arrivals and deliveries", "messages a second", flow);
   out += plot(o, "Refused and failed", "messages a second",
-              {{"refusals, each", per_second(o, [](const Second& x) { return double(x.refusals); })},
-               {"refused for good", per_second(o, [](const Second& x) { return double(x.refused); })},
-               {"failed", per_second(o, [](const Second& x) { return double(x.failed); })}});
+              {{"refusals, each", per_second(o, [](const SecondCounts& x) { return double(x.refusals); })},
+               {"refused for good", per_second(o, [](const SecondCounts& x) { return double(x.refused); })},
+               {"failed", per_second(o, [](const SecondCounts& x) { return double(x.failed); })}});
   out += plot(o, "Held and in flight", "messages",
               {{"taken on and not over", per_sample(o, [](const Sample& x) { return double(x.held); })},
-               {"calls out", per_sample(o, [](const Sample& x) { return double(x.calls_out); })},
+               {"calls out", per_sample(o, [](const Sample& x) { return double(x.calls_in_flight); })},
                {"open at clients", per_sample(o, [](const Sample& x) { return double(x.open); })}});
   out += plot(o, "Attempts for each message", "attempts over arrivals, by second",
-              {{"attempts", per_second(o, [](const Second& x) {
+              {{"attempts", per_second(o, [](const SecondCounts& x) {
                   return x.arrivals == 0 ? 0.0 : double(x.attempts) / double(x.arrivals);
                 })}});
   out += plot(o, "Latency of what was delivered", "milliseconds, from a message's arrival",
-              {{"median", per_second(o, [](const Second& x) { return x.latency.quantile(0.5); })},
-               {"90%", per_second(o, [](const Second& x) { return x.latency.quantile(0.9); })},
-               {"99%", per_second(o, [](const Second& x) { return x.latency.quantile(0.99); })}});
+              {{"median", per_second(o, [](const SecondCounts& x) { return x.latency.quantile(0.5); })},
+               {"90%", per_second(o, [](const SecondCounts& x) { return x.latency.quantile(0.9); })},
+               {"99%", per_second(o, [](const SecondCounts& x) { return x.latency.quantile(0.99); })}});
   std::vector<Series> cpu, memory, descriptors, disk;
   for (size_t r = 0; r < static_cast<size_t>(s.relays) && r < 8; ++r) {
     const std::string name = "relay " + std::to_string(r);
@@ -253,40 +253,40 @@
     "0;background:#fdf3f2}"
     "pre{overflow-x:auto;font-size:12.5px}";
 
-std::string tally_lines(const char* of, const std::vector<Tally>& tallies) {
+std::string tally_lines(const char* of, const std::vector<MessageCounts>& tallies) {
   std::string out = text("%-18s %9s %8s %8s %8s %8s %8s %8s %9s %9s\n", of, "asked", "in time", "late",
                          "refused", "failed", "lost", "no end", "p50 ms", "p99 ms");
-  for (const Tally& t : tallies) {
+  for (const MessageCounts& t : tallies) {
     out += text("%-18s %9llu %7.1f%% %7.1f%% %7.1f%% %7.1f%% %8llu %8llu %9.1f %9.1f\n", t.name.c_str(),
-                static_cast<unsigned long long>(t.asked), percent(t.in_time, t.asked),
-                percent(t.late, t.asked), percent(t.refused, t.asked), percent(t.failed, t.asked),
+                static_cast<unsigned long long>(t.requested), percent(t.in_time, t.requested),
+                percent(t.late, t.requested), percent(t.refused, t.requested), percent(t.failed, t.requested),
                 static_cast<unsigned long long>(t.lost), static_cast<unsigned long long>(t.unanswered),
                 t.latency.quantile(0.5), t.latency.quantile(0.99));
   }
   return out;
 }
 
-std::string tally_table(const char* title, const char* of, const std::vector<Tally>& tallies) {
+std::string tally_table(const char* title, const char* of, const std::vector<MessageCounts>& tallies) {
   std::string out = text(
       "<h2>%s</h2><table><tr><th>%s<th>asked<th>in time<th>late<th>refused<th>failed<th>lost with a "
       "machine<th>no end<th>p50 ms<th>p99 ms</tr>",
       title, of);
-  for (const Tally& t : tallies) {
+  for (const MessageCounts& t : tallies) {
     out += "<tr><td>" + escape(t.name) +
            text("<td>%llu<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%llu<td>%llu<td>%.1f<td>%.1f</tr>",
-                static_cast<unsigned long long>(t.asked), percent(t.in_time, t.asked),
-                percent(t.late, t.asked), percent(t.refused, t.asked), percent(t.failed, t.asked),
+                static_cast<unsigned long long>(t.requested), percent(t.in_time, t.requested),
+                percent(t.late, t.requested), percent(t.refused, t.requested), percent(t.failed, t.requested),
                 static_cast<unsigned long long>(t.lost), static_cast<unsigned long long>(t.unanswered),
                 t.latency.quantile(0.5), t.latency.quantile(0.99));
   }
   return out + "</table>";
 }
 
-nlohmann::json tally_json(const std::vector<Tally>& tallies) {
+nlohmann::json tally_json(const std::vector<MessageCounts>& tallies) {
   nlohmann::json out = nlohmann::json::array();
-  for (const Tally& t : tallies) {
+  for (const MessageCounts& t : tallies) {
     out.push_back({{"name", t.name},
-                   {"asked", t.asked},
+                   {"asked", t.requested},
                    {"in_time", t.in_time},
                    {"late", t.late},
                    {"refused", t.refused},
@@ -302,118 +302,118 @@
 
 }  // namespace
 
-std::string summary(const Scenario& s, const Options& options, const Outcome& o) {
+std::string summary(const Scenario& s, const RunOptions& options, const RunReport& o) {
   std::ostringstream out;
-  out << s.name << ", seed " << options.seed << ", digest " << hex(o.digest) << ": " << verdict(o.result);
-  if (!o.why.empty()) out << " (" << o.why << ")";
+  out << s.name << ", seed " << options.seed << ", digest " << hex(o.digest) << ": " << verdict(o.verdict);
+  if (!o.reason.empty()) out << " (" << o.reason << ")";
   out << "\n";
-  out << tally_lines("class", o.tallies);
-  if (!o.tenants.empty()) out << tally_lines("tenant", o.tenants);
+  out << tally_lines("class", o.class_counts);
+  if (!o.tenant_counts.empty()) out << tally_lines("tenant", o.tenant_counts);
   const double messages = std::max<double>(1, static_cast<double>(o.messages));
   out << text(
       "worth %.3f; %.2f attempts and %.2f handings-in a message; CPU a message: relays %.0f us, kit %.0f "
       "us\n",
       worth_share(s, o), static_cast<double>(o.attempts) / messages,
-      static_cast<double>(o.handings) / messages, static_cast<double>(relay_cpu(o)) / messages,
-      static_cast<double>(o.lateness.kit_cpu) / messages);
+      static_cast<double>(o.submissions) / messages, static_cast<double>(relay_cpu(o)) / messages,
+      static_cast<double>(o.timing.cpu) / messages);
   out << limits_table(s, o);
   out << text("the kit's own lateness: p50 %.2f ms, p99 %.2f ms, longest stall %.1f ms\n",
-              o.lateness.sends.quantile(0.5), o.lateness.sends.quantile(0.99),
-              static_cast<double>(o.lateness.longest_stall) / 1e3);
+              o.timing.send_delay.quantile(0.5), o.timing.send_delay.quantile(0.99),
+              static_cast<double>(o.timing.longest_stall) / 1e3);
   for (const std::string& note : o.notes) out << "note: " << note << "\n";
-  if (o.breach_count > 0) {
-    out << "\n" << o.breach_count << " BREACHES:";
+  if (o.violation_count > 0) {
+    out << "\n" << o.violation_count << " BREACHES:";
     for (const auto& [rule, count] : by_rule(o)) out << " " << rule << " x" << count;
     out << "\n";
     std::map<std::string, int> shown;
-    for (size_t i = 0; i < o.breaches.size(); ++i) {
-      const Breach& b = o.breaches[i];
-      if (++shown[name_of(b.rule)] > 3) continue;  // the report has them all
-      out << "\n" << breach_line(b, o.doubtful.size() > i && o.doubtful[i]) << "\n";
+    for (size_t i = 0; i < o.violations.size(); ++i) {
+      const Violation& b = o.violations[i];
+      if (++shown[rule_name(b.rule)] > 3) continue;  // the report has them all
+      out << "\n" << breach_line(b, o.uncertain.size() > i && o.uncertain[i]) << "\n";
       for (const std::string& line : b.history) out << "  " << line << "\n";
     }
   }
   return out.str();
 }
 
-std::string report_json(const Scenario& s, const Options& options, const Outcome& o) {
+std::string report_json(const Scenario& s, const RunOptions& options, const RunReport& o) {
   json out = {{"scenario", s.name},
               {"seed", options.seed},
               {"digest", hex(o.digest)},
-              {"result", o.result == Result::kKept     ? "kept"
-                         : o.result == Result::kBroken ? "broken"
-                                                       : "inconclusive"},
-              {"why", o.why},
+              {"result", o.verdict == RunVerdict::kPassed     ? "kept"
+                         : o.verdict == RunVerdict::kViolated ? "broken"
+                                                              : "inconclusive"},
+              {"why", o.reason},
               {"interrupted", o.interrupted},
               {"seconds", o.seconds},
               {"messages", o.messages},
-              {"handed_in", o.handings},
+              {"handed_in", o.submissions},
               {"attempts", o.attempts},
               {"notices", o.notices},
-              {"client_connections", o.opened},
+              {"client_connections", o.connections_opened},
               {"worth", worth_share(s, o)},
-              {"breaches", o.breach_count}};
+              {"breaches", o.violation_count}};
   const double messages = std::max<double>(1, static_cast<double>(o.messages));
-  for (const Second& in : o.by_second) {
+  for (const SecondCounts& in : o.per_second) {
     double worth = 0;
     for (size_t c = 0; c < in.delivered.size(); ++c) worth += s.classes[c].worth * in.delivered[c];
     out["worth_each_second"].push_back(worth);
     out["attempts_each_second"].push_back(in.attempts);
   }
   out["cpu_us_a_message"] = {{"relays", static_cast<double>(relay_cpu(o)) / messages},
-                             {"kit", static_cast<double>(o.lateness.kit_cpu) / messages}};
+                             {"kit", static_cast<double>(o.timing.cpu) / messages}};
   out["kit"] = {{"send_lateness_ms",
-                 {{"p50", o.lateness.sends.quantile(0.5)}, {"p99", o.lateness.sends.quantile(0.99)}}},
-                {"longest_stall_ms", static_cast<double>(o.lateness.longest_stall) / 1e3},
-                {"stalls", o.lateness.stalls},
-                {"suspended_ms", static_cast<double>(o.lateness.suspended) / 1e3}};
+                 {{"p50", o.timing.send_delay.quantile(0.5)}, {"p99", o.timing.send_delay.quantile(0.99)}}},
+                {"longest_stall_ms", static_cast<double>(o.timing.longest_stall) / 1e3},
+                {"stalls", o.timing.stall_count},
+                {"suspended_ms", static_cast<double>(o.timing.suspended) / 1e3}};
   out["limits"] = {
       {"memory_mb", s.memory_mb}, {"disk_mb", s.disk_mb}, {"sockets", s.sockets}, {"cores", s.cores}};
   out["used"] = json::array();
-  for (const RelayUse& use : o.use) {
-    json one = {{"memory_mb", static_cast<double>(use.memory) / 1e6},
-                {"temporary_mb", static_cast<double>(use.highest.temporary) / 1e6},
-                {"disk_mb", static_cast<double>(use.highest.disk) / 1e6},
-                {"files", use.highest.files},
-                {"descriptors", use.highest.descriptors},
-                {"sockets", use.highest.sockets},
-                {"processes", use.highest.processes},
+  for (const RelayUsage& use : o.relay_usage) {
+    json one = {{"memory_mb", static_cast<double>(use.peak_memory) / 1e6},
+                {"temporary_mb", static_cast<double>(use.peak.temporary) / 1e6},
+                {"disk_mb", static_cast<double>(use.peak.disk) / 1e6},
+                {"files", use.peak.files},
+                {"descriptors", use.peak.descriptors},
+                {"sockets", use.peak.sockets},
+                {"processes", use.peak.processes},
                 {"cpu_ms", static_cast<double>(use.cpu) / 1e3},
-                {"busiest_second", use.busiest}};
-    if (use.growth.judged) {
-      one["growth"] = {{"mb_a_minute", use.growth.mb_a_minute},
+                {"busiest_second", use.peak_cpu_share}};
+    if (use.growth.evaluated) {
+      one["growth"] = {{"mb_a_minute", use.growth.mb_per_minute},
                        {"mb", use.growth.mb},
-                       {"rises", use.growth.rises},
-                       {"leak", use.growth.leak}};
+                       {"rises", use.growth.increases},
+                       {"leak", use.growth.is_leak}};
     }
     out["used"].push_back(std::move(one));
   }
   out["by_rule"] = by_rule(o);
-  out["classes"] = tally_json(o.tallies);
-  out["tenants"] = tally_json(o.tenants);
+  out["classes"] = tally_json(o.class_counts);
+  out["tenants"] = tally_json(o.tenant_counts);
   out["events"] = json::array();
   for (const EventPlan& e : o.events) {
     out["events"].push_back({{"at_s", static_cast<double>(e.at) / 1e6},
-                             {"for_s", static_cast<double>(e.lasts) / 1e6},
-                             {"do", e.text},
+                             {"for_s", static_cast<double>(e.duration) / 1e6},
+                             {"do", e.description},
                              {"partners", e.partners}});
   }
   out["notes"] = o.notes;
   out["breach_list"] = json::array();
-  for (size_t i = 0; i < o.breaches.size(); ++i) {
-    const Breach& b = o.breaches[i];
-    out["breach_list"].push_back({{"rule", name_of(b.rule)},
-                                  {"number", number_of(b.rule)},
-                                  {"what", b.what},
+  for (size_t i = 0; i < o.violations.size(); ++i) {
+    const Violation& b = o.violations[i];
+    out["breach_list"].push_back({{"rule", rule_name(b.rule)},
+                                  {"number", rule_number(b.rule)},
+                                  {"what", b.description},
                                   {"message", b.message},
                                   {"id", hex(b.id)},
                                   {"relay", b.relay},
                                   {"partner", b.destination},
-                                  {"doubtful", o.doubtful.size() > i && o.doubtful[i]},
+                                  {"doubtful", o.uncertain.size() > i && o.uncertain[i]},
                                   {"history", b.history}});
   }
   out["by_second"] = json::array();
-  for (const Second& x : o.by_second) {
+  for (const SecondCounts& x : o.per_second) {
     out["by_second"].push_back({{"arrivals", x.arrivals},
                                 {"delivered", x.delivered},
                                 {"refusals", x.refusals},
@@ -435,38 +435,38 @@
                         {"descriptors", r.descriptors}});
     }
     out["samples"].push_back(
-        {{"open", x.open}, {"held", x.held}, {"calls_out", x.calls_out}, {"relays", relays}});
+        {{"open", x.open}, {"held", x.held}, {"calls_out", x.calls_in_flight}, {"relays", relays}});
   }
   return out.dump(1);
 }
 
-std::string report_html(const Scenario& s, const Options& options, const Outcome& o) {
+std::string report_html(const Scenario& s, const RunOptions& options, const RunReport& o) {
   std::string out =
       "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Rehearsal: " + escape(s.name) +
       "</title><style>" + kStyle + "</style><h1>" + escape(s.name) + " <small>" + escape(s.title) +
       "</small></h1>";
-  out += text("<p class=\"verdict k%d\">", static_cast<int>(o.result)) + std::string(verdict(o.result)) +
-         (o.why.empty() ? "" : ": " + escape(o.why)) + "</p>";
+  out += text("<p class=\"verdict k%d\">", static_cast<int>(o.verdict)) + std::string(verdict(o.verdict)) +
+         (o.reason.empty() ? "" : ": " + escape(o.reason)) + "</p>";
   out += text(
       "<p>Seed %llu, digest %s, %.1f s, %llu messages, %d relay(s), %d partners. Worth earned: %.3f of what "
       "was asked for.</p>",
       static_cast<unsigned long long>(options.seed), hex(o.digest).c_str(), o.seconds,
       static_cast<unsigned long long>(o.messages), s.relays, s.partners, worth_share(s, o));
-  if (o.breach_count > 0) {
-    out += "<h2>Breaches: " + std::to_string(o.breach_count) + "</h2>";
-    for (size_t i = 0; i < o.breaches.size(); ++i) {
+  if (o.violation_count > 0) {
+    out += "<h2>Breaches: " + std::to_string(o.violation_count) + "</h2>";
+    for (size_t i = 0; i < o.violations.size(); ++i) {
       out += "<details" + std::string(i < 3 ? " open" : "") + "><summary>" +
-             escape(breach_line(o.breaches[i], o.doubtful.size() > i && o.doubtful[i])) + "</summary>";
-      if (!o.breaches[i].history.empty()) {
+             escape(breach_line(o.violations[i], o.uncertain.size() > i && o.uncertain[i])) + "</summary>";
+      if (!o.violations[i].history.empty()) {
         out += "<pre>";
-        for (const std::string& line : o.breaches[i].history) out += escape(line) + "\n";
+        for (const std::string& line : o.violations[i].history) out += escape(line) + "\n";
         out += "</pre>";
       }
       out += "</details>";
     }
   }
-  out += tally_table("Classes", "class", o.tallies);
-  if (!o.tenants.empty()) out += tally_table("Tenants", "tenant", o.tenants);
+  out += tally_table("Classes", "class", o.class_counts);
+  if (!o.tenant_counts.empty()) out += tally_table("Tenants", "tenant", o.tenant_counts);
   out +=
       "<h2>Over time</h2><p class=\"legend\">Shaded: what the script did; point at it for its "
       "name.</p>" +
@@ -476,33 +476,32 @@
       "MB<th>state MB<th>files<th>descriptors<th>sockets<th>processes<th>busiest second, of a core<th>growth "
       "MB a "
       "minute</tr>";
-  for (size_t i = 0; i < o.use.size(); ++i) {
-    const RelayUse& use = o.use[i];
+  for (size_t i = 0; i < o.relay_usage.size(); ++i) {
+    const RelayUsage& use = o.relay_usage[i];
     out +=
         text("<tr><td>%zu<td>%.1f of %d<td>%.3f of %.3f<td>%zu<td>%d of %d<td>%d of %d<td>%d<td>%.0f%%<td>",
-             i, static_cast<double>(use.memory) / 1e6, s.memory_mb,
-             static_cast<double>(use.highest.disk) / 1e6, s.disk_mb, use.highest.files,
-             use.highest.descriptors, s.sockets, use.highest.sockets, s.sockets, use.highest.processes,
-             100 * use.busiest) +
-        (use.growth.judged ? text("%.2f", use.growth.mb_a_minute) : "run too short") + "</tr>";
+             i, static_cast<double>(use.peak_memory) / 1e6, s.memory_mb,
+             static_cast<double>(use.peak.disk) / 1e6, s.disk_mb, use.peak.files, use.peak.descriptors,
+             s.sockets, use.peak.sockets, s.sockets, use.peak.processes, 100 * use.peak_cpu_share) +
+        (use.growth.evaluated ? text("%.2f", use.growth.mb_per_minute) : "run too short") + "</tr>";
   }
   out += "</table><h2>Script</h2><table><tr><th>what<th>at<th>for</tr>";
   for (const EventPlan& e : o.events) {
-    out += "<tr><td>" + escape(e.text) +
+    out += "<tr><td>" + escape(e.description) +
            text("<td>%.1f s<td>%.1f s</tr>", static_cast<double>(e.at) / 1e6,
-                static_cast<double>(e.lasts) / 1e6);
+                static_cast<double>(e.duration) / 1e6);
   }
   out += "</table>";
   for (const std::string& note : o.notes) out += "<p>" + escape(note) + "</p>";
   out += text(
       "<h2>The kit itself</h2><p>Messages were handed in %.2f ms late at the median and %.2f ms at 99%%; its "
       "longest stall was %.1f ms, and it used %.1f s of CPU.</p></html>\n",
-      o.lateness.sends.quantile(0.5), o.lateness.sends.quantile(0.99),
-      static_cast<double>(o.lateness.longest_stall) / 1e3, static_cast<double>(o.lateness.kit_cpu) / 1e6);
+      o.timing.send_delay.quantile(0.5), o.timing.send_delay.quantile(0.99),
+      static_cast<double>(o.timing.longest_stall) / 1e3, static_cast<double>(o.timing.cpu) / 1e6);
   return out;
 }
 
-void write_report(const Scenario& s, const Options& options, const Outcome& o) {
+void write_report(const Scenario& s, const RunOptions& options, const RunReport& o) {
   const auto put = [&](const char* name, const std::string& bytes) {
     const auto path = options.folder / name;
     std::ofstream file(path, std::ios::binary);
--- a/rehearsal/report.h
+++ b/rehearsal/report.h
@@ -8,11 +8,11 @@
 
 namespace umberhoist::rehearsal {
 
-std::string summary(const Scenario& scenario, const Options& options, const Outcome& outcome);
-std::string report_json(const Scenario& scenario, const Options& options, const Outcome& outcome);
-std::string report_html(const Scenario& scenario, const Options& options, const Outcome& outcome);
+std::string summary(const Scenario& scenario, const RunOptions& options, const RunReport& outcome);
+std::string report_json(const Scenario& scenario, const RunOptions& options, const RunReport& outcome);
+std::string report_html(const Scenario& scenario, const RunOptions& options, const RunReport& outcome);
 
 // report.json and report.html; throws std::runtime_error if one cannot be written.
-void write_report(const Scenario& scenario, const Options& options, const Outcome& outcome);
+void write_report(const Scenario& scenario, const RunOptions& options, const RunReport& outcome);
 
 }  // namespace umberhoist::rehearsal
--- a/rehearsal/run.h
+++ b/rehearsal/run.h
@@ -12,7 +12,7 @@
 
 namespace umberhoist::rehearsal {
 
-struct Options {
+struct RunOptions {
   std::string relay;             // the program
   std::filesystem::path folder;  // for configurations, logs, state and the report
   bool progress = true;          // a line on standard error while it runs
@@ -28,58 +28,58 @@
   bool running = false;
 };
 
-struct RelayUse {  // over the whole run
-  limits::Usage highest;
-  size_t memory = 0;  // the most, as it is judged
+struct RelayUsage {  // over the whole run
+  limits::ResourceUsage peak;
+  size_t peak_memory = 0;  // the most, as it is judged
   Time cpu = 0;
-  double busiest = 0;  // share of a core, in its busiest second
-  limits::Growth growth;
+  double peak_cpu_share = 0;  // share of a core, in its busiest second
+  limits::MemoryGrowth growth;
 };
 
 struct Sample {     // one each second
   size_t open = 0;  // messages with their clients or held
   size_t held = 0;  // taken on and not over
-  size_t calls_out = 0;
+  size_t calls_in_flight = 0;
   size_t connections = 0;
   std::vector<RelaySample> relays;
 };
 
 // How well the kit kept its own time: what it judges is no truer than that.
-struct Lateness {
-  Histogram sends;         // of a handing-in, behind its time
+struct KitTiming {
+  Histogram send_delay;    // of a handing-in, behind its time
   Time longest_stall = 0;  // of the event loop
-  size_t stalls = 0;       // over kStall
+  size_t stall_count = 0;  // over kStall
   Time suspended = 0;      // the machine slept
-  Time kit_cpu = 0;
+  Time cpu = 0;
 };
 
-enum class Result { kKept = 0, kBroken = 1, kInconclusive = 3 };
+enum class RunVerdict { kPassed = 0, kViolated = 1, kInconclusive = 3 };
 
-struct Outcome {
-  Result result = Result::kKept;
-  std::string why;  // where it is inconclusive, or was broken off
+struct RunReport {
+  RunVerdict verdict = RunVerdict::kPassed;
+  std::string reason;  // where it is inconclusive, or was broken off
   uint64_t digest = 0;
   double seconds = 0;  // from the first arrival to the end
   bool interrupted = false;
-  std::vector<Breach> breaches;
-  std::vector<bool> doubtful;  // for each breach: the kit itself ran late round it
-  size_t breach_count = 0;
-  std::vector<Tally> tallies;  // by class
-  std::vector<Tally> tenants;
-  std::vector<Second> by_second;
+  std::vector<Violation> violations;
+  std::vector<bool> uncertain;  // for each breach: the kit itself ran late round it
+  size_t violation_count = 0;
+  std::vector<MessageCounts> class_counts;  // by class
+  std::vector<MessageCounts> tenant_counts;
+  std::vector<SecondCounts> per_second;
   std::vector<Sample> samples;
-  std::vector<RelayUse> use;  // by relay
+  std::vector<RelayUsage> relay_usage;  // by relay
   std::vector<EventPlan> events;
   std::vector<std::string> notes;  // what the script could not do
   uint64_t messages = 0;
-  uint64_t handings = 0;
+  uint64_t submissions = 0;
   uint64_t attempts = 0;
   uint64_t notices = 0;
-  uint64_t opened = 0;  // client connections
-  Lateness lateness;
+  uint64_t connections_opened = 0;  // client connections
+  KitTiming timing;
 };
 
 // Throws std::runtime_error if it cannot start; a relay that does not start is an Outcome.
-Outcome rehearse(const Scenario& scenario, const Options& options);
+RunReport run_rehearsal(const Scenario& scenario, const RunOptions& options);
 
 }  // namespace umberhoist::rehearsal
--- a/rehearsal/scenario.cpp
+++ b/rehearsal/scenario.cpp
@@ -76,7 +76,7 @@
     out = *node->value<std::string>();
   }
 
-  void span(const char* key, Span& out, double low, double high) {
+  void span(const char* key, ValueRange& out, double low, double high) {
     const toml::node* node = get(key);
     if (node == nullptr) return;
     const std::string expected = "one number or two in an array, the lower first, each " + range(low, high);
@@ -189,7 +189,8 @@
 const std::map<std::string, Limit, std::less<>> kLimits = {
     {"none", Limit::kNone}, {"rate", Limit::kRate}, {"window", Limit::kWindow}};
 
-const std::map<std::string, Late, std::less<>> kLate = {{"halves", Late::kHalves}, {"line", Late::kLine}};
+const std::map<std::string, LateWorthDecay, std::less<>> kLate = {{"halves", LateWorthDecay::kHalving},
+                                                                  {"line", LateWorthDecay::kLinear}};
 const std::map<std::string, bool, std::less<>> kDurability = {{"group", true}, {"process", false}};
 const std::map<std::string, bool, std::less<>> kKnown = {{"first", true}, {"now", false}};
 
@@ -424,14 +425,14 @@
     Reader rules(*table, file, "rules");
     double grace = 1, window = 3, cold = 12;
     rules.number("drain_grace_s", grace, 0.01, 600);
-    rules.number("fall_multiple", out.figures.fall_multiple, 1, 1000);
+    rules.number("fall_multiple", out.rule_parameters.overload_factor, 1, 1000);
     rules.number("fall_s", window, 0.1, 600);
     rules.number("cold_s", cold, 0.1, 3600);
-    rules.number("start_capacity", out.figures.start_capacity, 0.01, 1);
+    rules.number("start_capacity", out.rule_parameters.start_capacity, 0.01, 1);
     rules.end();
-    out.figures.drain_grace = static_cast<Time>(grace * 1e6);
-    out.figures.fall_window = static_cast<Time>(window * 1e6);
-    out.figures.cold = static_cast<Time>(cold * 1e6);
+    out.rule_parameters.drain_grace = static_cast<Time>(grace * 1e6);
+    out.rule_parameters.overload_window = static_cast<Time>(window * 1e6);
+    out.rule_parameters.slow_start = static_cast<Time>(cold * 1e6);
   }
   if (const auto* table = in.table("load")) {
     Reader load(*table, file, "load");
@@ -474,9 +475,9 @@
   in.end();
   std::stable_sort(out.events.begin(), out.events.end(),
                    [](const EventSpec& a, const EventSpec& b) { return a.at_s < b.at_s; });
-  out.figures.max_attempts = out.max_attempts;
+  out.rule_parameters.max_attempts = out.max_attempts;
   for (const ClassSpec& c : out.classes) {
-    out.figures.classes.push_back({c.name, c.effect, static_cast<Time>(c.key_window_s * 1e6)});
+    out.rule_parameters.classes.push_back({c.name, c.effect, static_cast<Time>(c.key_window_s * 1e6)});
   }
   return out;
 }
@@ -515,19 +516,20 @@
 }
 
 Scenario load_scenario(const std::string& file_or_name, const std::vector<std::string>& sets) {
-  for (const Shipped& shipped : shipped_scenarios()) {
+  for (const BundledScenario& shipped : bundled_scenarios()) {
     if (shipped.name == file_or_name) return parse_scenario(shipped.text, shipped.name + ".toml", sets);
   }
   std::ifstream file(file_or_name, std::ios::binary);
   if (!file || !std::filesystem::is_regular_file(file_or_name)) {
     std::string known;
-    for (const Shipped& shipped : shipped_scenarios()) known += (known.empty() ? "" : ", ") + shipped.name;
+    for (const BundledScenario& shipped : bundled_scenarios())
+      known += (known.empty() ? "" : ", ") + shipped.name;
     throw ScenarioError(file_or_name + ": cannot be read; expected a file or one of " + known);
   }
   return parse_scenario({std::istreambuf_iterator<char>(file), {}}, file_or_name, sets);
 }
 
-std::string explain(const Scenario& s) {
+std::string describe(const Scenario& s) {
   std::ostringstream out;
   out << s.name << ": " << s.title << "\n"
       << s.relays << " relay(s), " << s.partners << " partners, " << s.load.rate << " messages/s for "
--- a/rehearsal/scenario.h
+++ b/rehearsal/scenario.h
@@ -17,7 +17,7 @@
   using std::runtime_error::runtime_error;  // "file:line:column: what, and what was expected"
 };
 
-struct Span {  // a range to draw from, evenly
+struct ValueRange {  // a range to draw from, evenly
   double low = 0;
   double high = 0;
 };
@@ -28,18 +28,18 @@
   std::string name;
   double share = 1;  // of the partners
   double lean = 0;   // of the traffic: partners of this kind come earlier (1) or later (-1) by size
-  Span endpoints{1, 2};
-  Span service_ms{40, 80};
+  ValueRange endpoints{1, 2};
+  ValueRange service_ms{40, 80};
   double cv = 0.6;
   double spare = 1.4;     // capacity over the calls at full load
   double least_rate = 3;  // calls a second that any of them takes
   Limit limit = Limit::kNone;
-  double headroom = 1.6;  // a limit over the calls at full load
-  Span span_s{1, 2};      // of a windowed limit
+  double headroom = 1.6;    // a limit over the calls at full load
+  ValueRange span_s{1, 2};  // of a windowed limit
   double tells_wait = 0.5;
-  Span wait_ms{200, 700};  // told by a plain rate
-  double queue_s = 0.5;    // what may wait, in time
-  int connections = 0;     // an endpoint takes; 0: no limit
+  ValueRange wait_ms{200, 700};  // told by a plain rate
+  double queue_s = 0.5;          // what may wait, in time
+  int connections = 0;           // an endpoint takes; 0: no limit
   double error_rate = 0;
 };
 
@@ -63,7 +63,7 @@
 
 // What a delivery after its aim is still worth: half as much with each further aim, or less and less up to
 // the end; never under the class's late_worth.
-enum class Late { kHalves, kLine };
+enum class LateWorthDecay { kHalving, kLinear };
 
 struct BurstSpec {
   double at_s = 0;
@@ -77,8 +77,8 @@
   double swing = 0;   // of a wave; 0: steady
   double period_s = 20;
   double clump_share = 0.1;
-  Span clump_s{1.2, 3.3};
-  Span body_bytes{64, 512};
+  ValueRange clump_s{1.2, 3.3};
+  ValueRange body_bytes{64, 512};
   std::vector<BurstSpec> bursts;
 };
 
@@ -157,7 +157,7 @@
   int partners = 16;
   double zipf = 0.8;
   int zones = 2;
-  Span lag_s{1.4, 4.9};  // of discovery
+  ValueRange lag_s{1.4, 4.9};  // of discovery
   bool known_at_first =
       false;           // each start is given the list as it was at the first; else as its agent has it
   double idle_s = 10;  // an endpoint closes an idle connection
@@ -165,14 +165,14 @@
   // clients
   int retries = 2;
   double honour = 0.7;  // share of clients that heed the told time
-  Span backoff_ms{360, 1400};
-  Span notice_s{1.2, 3.8};  // until the front notices a dead relay
-  Span again_s{0.35, 2};    // until what a dead relay held comes again
-  Late late = Late::kHalves;
+  ValueRange backoff_ms{360, 1400};
+  ValueRange notice_s{1.2, 3.8};  // until the front notices a dead relay
+  ValueRange again_s{0.35, 2};    // until what a dead relay held comes again
+  LateWorthDecay late = LateWorthDecay::kHalving;
   double over_share_worth = 1;  // what a tenant's message beyond its quota is worth
   int max_attempts = 6;
   bool probes = true;
-  Figures figures;  // classes are filled in from below
+  RuleParameters rule_parameters;  // classes are filled in from below
   LoadSpec load;
   std::vector<KindSpec> kinds;
   std::vector<ClassSpec> classes;
@@ -186,14 +186,14 @@
                         const std::vector<std::string>& sets);
 Scenario load_scenario(const std::string& file_or_name, const std::vector<std::string>& sets);
 
-struct Shipped {
+struct BundledScenario {
   std::string name;
   std::string title;
   std::string text;
 };
-const std::vector<Shipped>& shipped_scenarios();
+const std::vector<BundledScenario>& bundled_scenarios();
 
-std::string explain(const Scenario& scenario);  // for `check`: what will be played, in words
+std::string describe(const Scenario& scenario);  // for `check`: what will be played, in words
 const char* action_name(Action action);
 
 }  // namespace umberhoist::rehearsal
--- a/standins/agent.cpp
+++ b/standins/agent.cpp
@@ -18,8 +18,8 @@
 constexpr auto kBeat = std::chrono::seconds(2);  // an empty line on a watch on which nothing changes
 constexpr size_t kMostBody = 4 * 1024 * 1024;
 
-const char* phase_name(Phase phase) {
-  return phase == Phase::kActive ? "active" : phase == Phase::kLeaving ? "leaving" : "left";
+const char* phase_name(HostState phase) {
+  return phase == HostState::kActive ? "active" : phase == HostState::kDraining ? "leaving" : "left";
 }
 
 json to_json(const ListEntry& e) {
@@ -43,9 +43,9 @@
 
 std::string entry_json(const ListEntry& entry) { return to_json(entry).dump(); }
 
-class Agent::Connection : public std::enable_shared_from_this<Connection> {
+class DiscoveryAgent::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Agent& owner, tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {}
+  Connection(DiscoveryAgent& owner, tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {}
 
   void read() {
     parser_.emplace();
@@ -61,7 +61,7 @@
   // A watch: what changed since its version, if anything did.
   void push() {
     if (!watching_ || owner_ == nullptr || owner_->muted_ || writing_) return;
-    std::vector<std::pair<int, Phase>> told;
+    std::vector<std::pair<int, HostState>> told;
     const std::string line = owner_->changes_since(seen_, told);
     if (told.empty()) return;
     seen_ = owner_->revision_;
@@ -84,7 +84,7 @@
 
   void leave() {
     if (owner_ == nullptr) return;
-    Agent* owner = std::exchange(owner_, nullptr);
+    DiscoveryAgent* owner = std::exchange(owner_, nullptr);
     Error ignored;
     socket_.close(ignored);
     owner->connections_.erase(shared_from_this());
@@ -106,7 +106,7 @@
     }
     if (request_.method() != http::verb::get || !target.starts_with("/api/targets"))
       return answer("404 Not Found", "");
-    if (target.find("stream=1") == std::string::npos) return answer("200 OK", owner_->whole_list());
+    if (target.find("stream=1") == std::string::npos) return answer("200 OK", owner_->full_list_json());
     const size_t index = target.find("index=");
     seen_ = -1;
     if (index != std::string::npos) {
@@ -114,7 +114,7 @@
       std::from_chars(from, target.data() + target.size(), seen_);
     }
     watching_ = true;
-    std::vector<std::pair<int, Phase>> told;
+    std::vector<std::pair<int, HostState>> told;
     const std::string line = owner_->changes_since(seen_, told);
     seen_ = owner_->revision_;
     write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -159,7 +159,7 @@
     }
     for (const Read& notice : all) {
       ++owner_->notices_;
-      owner_->witness_.notice(now, owner_->relay_, notice.id, notice.returned, notice.after);
+      owner_->witness_.on_notice(now, owner_->relay_, notice.id, notice.returned, notice.after);
     }
     held_back_ = owner_->holding_;
     if (!held_back_) answer("204 No Content", "");
@@ -173,7 +173,7 @@
     then_read_ = true;
   }
 
-  void write(std::string bytes, std::vector<std::pair<int, Phase>> told) {
+  void write(std::string bytes, std::vector<std::pair<int, HostState>> told) {
     out_ = std::move(bytes);
     writing_ = true;
     boost::asio::async_write(socket_, boost::asio::buffer(out_),
@@ -183,14 +183,15 @@
                                if (error) return self->leave();
                                const Time now = steady_now();
                                for (const auto& [endpoint, phase] : told) {
-                                 self->owner_->witness_.told(now, self->owner_->relay_, endpoint, phase);
+                                 self->owner_->witness_.on_relay_notified(now, self->owner_->relay_, endpoint,
+                                                                          phase);
                                }
                                if (std::exchange(self->then_read_, false)) return self->read();
                                self->push();
                              });
   }
 
-  Agent* owner_;
+  DiscoveryAgent* owner_;
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
@@ -204,27 +205,27 @@
   bool then_read_ = false;  // the next request, once the answer is written
 };
 
-Agent::Agent(boost::asio::io_context& io, int relay, Witness& witness)
+DiscoveryAgent::DiscoveryAgent(boost::asio::io_context& io, int relay, Observer& witness)
     : io_(io), relay_(relay), witness_(witness), acceptor_(io), beat_(io), grace_(io) {
   listen();
   beat();
 }
 
-Agent::~Agent() {
+DiscoveryAgent::~DiscoveryAgent() {
   *alive_ = false;
   for (const auto& connection : connections_) connection->orphan();
 }
 
-std::string Agent::address() const {
+std::string DiscoveryAgent::address() const {
   return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
 }
 
-void Agent::listen() {
+void DiscoveryAgent::listen() {
   acceptor_ = tcp::acceptor(io_, {boost::asio::ip::address_v4::loopback(), 0});
   accept();
 }
 
-void Agent::accept() {
+void DiscoveryAgent::accept() {
   acceptor_.async_accept([this, alive = alive_](const Error& error, tcp::socket socket) {
     if (!*alive || error == boost::asio::error::operation_aborted) return;
     if (!error) {
@@ -238,36 +239,36 @@
   });
 }
 
-void Agent::learn(const std::vector<ListEntry>& changed) {
+void DiscoveryAgent::apply_update(const std::vector<ListEntry>& changed) {
   ++revision_;
   for (const ListEntry& entry : changed) {
     entries_[entry.endpoint] = entry;
     changed_at_[entry.endpoint] = revision_;
-    witness_.agent_learned(steady_now(), relay_, entry.endpoint, entry.phase);
+    witness_.on_agent_updated(steady_now(), relay_, entry.endpoint, entry.phase);
   }
   push();
 }
 
-void Agent::push() {
+void DiscoveryAgent::push() {
   const auto all = connections_;
   for (const auto& connection : all) connection->push();
 }
 
-void Agent::mute(bool muted) {
+void DiscoveryAgent::set_silent(bool muted) {
   muted_ = muted;
   if (muted) return;
   const auto all = connections_;
   for (const auto& connection : all) connection->unmute();
 }
 
-void Agent::hold_notices(bool hold) {
+void DiscoveryAgent::hold_notice_replies(bool hold) {
   holding_ = hold;
   if (hold) return;
   const auto all = connections_;
   for (const auto& connection : all) connection->let_go();
 }
 
-void Agent::move(Time grace) {
+void DiscoveryAgent::move_to_new_port(Time grace) {
   const auto before = connections_;
   acceptor_.close();
   listen();
@@ -278,34 +279,35 @@
   });
 }
 
-std::string Agent::whole_list() const {
+std::string DiscoveryAgent::full_list_json() const {
   json members = json::array();
   for (const auto& [endpoint, entry] : entries_) {
-    if (entry.phase != Phase::kLeft) members.push_back(to_json(entry));
+    if (entry.phase != HostState::kRemoved) members.push_back(to_json(entry));
   }
   return json{{"revision", revision_}, {"complete", true}, {"members", members}}.dump();
 }
 
 // What changed after that version, or the whole list for a version that is none of ours. `told` names each
 // entry.
-std::string Agent::changes_since(int64_t revision, std::vector<std::pair<int, Phase>>& told) const {
+std::string DiscoveryAgent::changes_since(int64_t revision,
+                                          std::vector<std::pair<int, HostState>>& told) const {
   const bool whole = revision < 0 || revision > revision_;
   json members = json::array();
   for (const auto& [endpoint, entry] : entries_) {
-    const bool fresh = whole ? entry.phase != Phase::kLeft : changed_at_.at(endpoint) > revision;
+    const bool fresh = whole ? entry.phase != HostState::kRemoved : changed_at_.at(endpoint) > revision;
     if (!fresh) continue;
     members.push_back(to_json(entry));
     told.emplace_back(endpoint, entry.phase);
   }
   if (whole) {
     for (const auto& [endpoint, entry] : entries_) {  // not in a whole list: gone
-      if (entry.phase == Phase::kLeft) told.emplace_back(endpoint, Phase::kLeft);
+      if (entry.phase == HostState::kRemoved) told.emplace_back(endpoint, HostState::kRemoved);
     }
   }
   return json{{"revision", revision_}, {"complete", whole}, {"members", members}}.dump();
 }
 
-void Agent::beat() {
+void DiscoveryAgent::beat() {
   beat_.expires_after(kBeat);
   beat_.async_wait([this, alive = alive_](const Error& error) {
     if (error || !*alive) return;
--- a/standins/agent.h
+++ b/standins/agent.h
@@ -25,44 +25,44 @@
   std::string locality;
   std::string flavor;
   int cell = 0;
-  Phase phase = Phase::kActive;
+  HostState phase = HostState::kActive;
   double size = 1;
   int64_t up_since_ms = 0;
 };
 
 std::string entry_json(const ListEntry& entry);
 
-class Agent {
+class DiscoveryAgent {
  public:
-  Agent(boost::asio::io_context& io, int relay, Witness& witness);
-  ~Agent();
+  DiscoveryAgent(boost::asio::io_context& io, int relay, Observer& witness);
+  ~DiscoveryAgent();
 
   std::string address() const;  // "127.0.0.1:port", where it is now
 
   // One version more: the entries that changed. Versions count up from 1.
-  void learn(const std::vector<ListEntry>& changed);
+  void apply_update(const std::vector<ListEntry>& changed);
   // No answer but to notices, and no line on a watch, until it speaks again.
-  void mute(bool muted);
+  void set_silent(bool muted);
   // Notices are read, and answered only when they are held no longer: a process that ends meanwhile cannot
   // know whether they arrived.
-  void hold_notices(bool hold);
+  void hold_notice_replies(bool hold);
   // To another port: the old one takes no new connection, and ends the open ones after `grace`.
-  void move(Time grace);
-  std::string whole_list() const;  // {"revision":..,"complete":true,"members":[..]}
-  size_t notices() const { return notices_; }
+  void move_to_new_port(Time grace);
+  std::string full_list_json() const;  // {"revision":..,"complete":true,"members":[..]}
+  size_t notice_count() const { return notices_; }
 
  private:
   class Connection;
 
   void listen();
   void accept();
-  std::string changes_since(int64_t revision, std::vector<std::pair<int, Phase>>& told) const;
+  std::string changes_since(int64_t revision, std::vector<std::pair<int, HostState>>& told) const;
   void push();
   void beat();
 
   boost::asio::io_context& io_;
   int relay_;
-  Witness& witness_;
+  Observer& witness_;
   tcp::acceptor acceptor_;
   boost::asio::steady_timer beat_;
   boost::asio::steady_timer grace_;
--- a/standins/endpoints.cpp
+++ b/standins/endpoints.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-tcp::acceptor bound_acceptor(boost::asio::io_context& io) {
+tcp::acceptor bind_acceptor(boost::asio::io_context& io) {
   // A port that was asked for by number stays bound through shutdown and listen; one that was drawn does not.
   tcp::acceptor drawn(io, tcp::v4());
   drawn.set_option(tcp::acceptor::reuse_address(true));
@@ -53,7 +53,7 @@
   Site(Endpoints& owner) : owner_(owner) {
     for (int relay = 0; relay < owner.limits_.relays; ++relay) {
       doors_.push_back(
-          std::make_unique<Door>(Door{bound_acceptor(owner.io_), {}, boost::asio::steady_timer(owner.io_)}));
+          std::make_unique<Door>(Door{bind_acceptor(owner.io_), {}, boost::asio::steady_timer(owner.io_)}));
       ports_.push_back(doors_.back()->acceptor.local_endpoint().port());
     }
   }
@@ -128,8 +128,8 @@
       : owner_(&owner), endpoint_(&endpoint), relay_(relay), socket_(std::move(socket)), timer_(owner.io_) {
     endpoint.connections.insert(this);
     ++owner.connections_;
-    over_cap_ = endpoint.settings.connections > 0 &&
-                endpoint.connections.size() > static_cast<size_t>(endpoint.settings.connections);
+    over_cap_ = endpoint.settings.max_connections > 0 &&
+                endpoint.connections.size() > static_cast<size_t>(endpoint.settings.max_connections);
   }
 
   void start() {
@@ -173,11 +173,11 @@
     const uint64_t number = std::exchange(call_, 0);
     --owner_->calls_out_;
     --owner_->out_of_[static_cast<size_t>(relay_)];
-    owner_->witness_.call_ended(steady_now(), number, end, wait);
+    owner_->witness_.on_call_ended(steady_now(), number, end, wait);
   }
 
   void idle() {
-    timer_.expires_after(std::chrono::microseconds(owner_->limits_.idle));
+    timer_.expires_after(std::chrono::microseconds(owner_->limits_.idle_timeout));
     timer_.async_wait([self = shared_from_this()](const Error& error) {
       if (error || self->owner_ == nullptr || self->call_ != 0 || self->first_byte_ != 0) return;
       self->half_close();
@@ -200,7 +200,7 @@
                             [self = shared_from_this()](const Error& error, size_t count) {
                               if (self->owner_ == nullptr) return;
                               if (count == 0 || error) {
-                                self->end_call(CallEnd::kLeft, 0);
+                                self->end_call(CallEnd::kAbandoned, 0);
                                 return self->leave();
                               }
                               self->buffer_.commit(count);
@@ -213,7 +213,7 @@
     const Time now = steady_now();
     if (first_byte_ == 0) first_byte_ = now;
     if (call_ != 0 || answering_) {  // one at a time: what comes before the answer waits
-      if (buffer_.size() > kReadAtOnce + owner_->limits_.most_body) reset();
+      if (buffer_.size() > kReadAtOnce + owner_->limits_.max_body_bytes) reset();
       return;
     }
     parse(now);
@@ -223,7 +223,7 @@
     if (!parser_) {
       parser_.emplace();
       parser_->eager(true);
-      parser_->body_limit(owner_->limits_.most_body);
+      parser_->body_limit(owner_->limits_.max_body_bytes);
     }
     Error error;
     while (!parser_->is_done() && buffer_.size() > 0) {
@@ -247,13 +247,13 @@
   void probe(Time now, std::string_view target) {
     if (target != "/-/healthy" && target != "/-/load") return answer("404 Not Found", "", {}, 0);
     Partner& partner = owner_->partner(endpoint_->settings.destination);
-    const Trouble trouble = partner.trouble();
-    if (trouble == Trouble::kSilent || trouble == Trouble::kHang) {
+    const Fault trouble = partner.fault();
+    if (trouble == Fault::kSilent || trouble == Fault::kHang) {
       muted_ = true;
-      return owner_->witness_.probed(now, relay_, endpoint_->settings.number, false);
+      return owner_->witness_.on_probe(now, relay_, endpoint_->settings.number, false);
     }
     const bool ok = partner.probe(now) && !endpoint_->draining;
-    owner_->witness_.probed(now, relay_, endpoint_->settings.number, ok);
+    owner_->witness_.on_probe(now, relay_, endpoint_->settings.number, ok);
     answer(ok ? "200 OK" : "503 Service Unavailable", "", {}, 0);
   }
 
@@ -269,37 +269,37 @@
     call_ = call.number;
     ++owner_->calls_out_;
     const int out = ++owner_->out_of_[static_cast<size_t>(relay_)];
-    owner_->witness_.called(now, call);
+    owner_->witness_.on_call(now, call);
     if (closing_) {
       end_call(CallEnd::kReset, 0);
       return leave();
     }
     Partner& partner = owner_->partner(endpoint_->settings.destination);
-    const bool dead = partner.trouble() == Trouble::kSilent;
+    const bool dead = partner.fault() == Fault::kSilent;
     if (!dead) {
-      if (owner_->limits_.slots > 0 && out > owner_->limits_.slots) {
-        return answer("503 Service Unavailable", "X-Egress-Full: 1\r\n", CallEnd::kTurnedAway, 0);
+      if (owner_->limits_.max_calls_per_relay > 0 && out > owner_->limits_.max_calls_per_relay) {
+        return answer("503 Service Unavailable", "X-Egress-Full: 1\r\n", CallEnd::kRefused, 0);
       }
       if (const auto status = owner_->gate_ ? owner_->gate_(call.id) : std::nullopt) {
         return answer(*status == 410 ? "410 Gone" : "504 Gateway Timeout", "",
-                      *status == 410 ? CallEnd::kOver : CallEnd::kTurnedAway, 0);
+                      *status == 410 ? CallEnd::kMessageOver : CallEnd::kRefused, 0);
       }
       if (endpoint_->draining || over_cap_) {
-        return answer("503 Service Unavailable", over_cap_ ? "Connection: close\r\n" : "",
-                      CallEnd::kTurnedAway, 0);
+        return answer("503 Service Unavailable", over_cap_ ? "Connection: close\r\n" : "", CallEnd::kRefused,
+                      0);
       }
     }
-    const Verdict verdict = partner.call(now);
-    if (verdict.what == Verdict::What::kNothing) {
+    const PartnerResponse verdict = partner.handle_call(now);
+    if (verdict.kind == PartnerResponse::Kind::kNone) {
       muted_ = true;
       return;
     }
-    if (verdict.status == 429 || verdict.status == 503 || !verdict.runs) return settle(verdict);
+    if (verdict.status == 429 || verdict.status == 503 || !verdict.executes) return settle(verdict);
     run_ = verdict;
     key_ = call.key;
     came_ = now;
-    if (verdict.runs_at <= now) return begin_run(call.number);
-    timer_.expires_at(at_time(verdict.runs_at));
+    if (verdict.executes_at <= now) return begin_run(call.number);
+    timer_.expires_at(at_time(verdict.executes_at));
     timer_.async_wait([self = shared_from_this(), number = call.number](const Error& error) {
       if (!error && self->owner_ != nullptr) self->begin_run(number);
     });
@@ -307,17 +307,17 @@
 
   void begin_run(uint64_t number) {
     Partner& partner = owner_->partner(endpoint_->settings.destination);
-    if (partner.trouble() == Trouble::kSilent || partner.trouble() == Trouble::kHang) {
+    if (partner.fault() == Fault::kSilent || partner.fault() == Fault::kHang) {
       muted_ = true;  // it stopped with this call in hand
       return;
     }
     // A host begins a call when its last byte has come: a place that it waits for does not age its key.
-    owner_->witness_.ran(steady_now(), number, partner.run(came_, key_));
+    owner_->witness_.on_executed(steady_now(), number, partner.execute(came_, key_));
     timer_.expires_at(at_time(run_.at));
     timer_.async_wait([self = shared_from_this(), number](const Error& error) {
       if (error || self->owner_ == nullptr || self->call_ != number) return;
-      const Trouble trouble = self->owner_->partner(self->endpoint_->settings.destination).trouble();
-      if (trouble == Trouble::kSilent || trouble == Trouble::kHang) {
+      const Fault trouble = self->owner_->partner(self->endpoint_->settings.destination).fault();
+      if (trouble == Fault::kSilent || trouble == Fault::kHang) {
         self->muted_ = true;
         return;
       }
@@ -325,20 +325,20 @@
     });
   }
 
-  void settle(const Verdict& verdict) {
-    if (verdict.what == Verdict::What::kReset) return reset();
-    if (verdict.what == Verdict::What::kSpoilt) return spoil();
+  void settle(const PartnerResponse& verdict) {
+    if (verdict.kind == PartnerResponse::Kind::kReset) return reset();
+    if (verdict.kind == PartnerResponse::Kind::kMalformed) return spoil();
     switch (verdict.status) {
       case 200:
         return answer("200 OK", "", CallEnd::kDelivered, 0);
       case 429: {
         char head[64];
-        const Time wait = verdict.wait / 1000 * 1000;
+        const Time wait = verdict.retry_after / 1000 * 1000;
         std::snprintf(head, sizeof head, "Retry-After: %.3f\r\n", static_cast<double>(wait) / 1e6);
-        return answer("429 Too Many Requests", head, CallEnd::kTurnedAway, wait);
+        return answer("429 Too Many Requests", head, CallEnd::kRefused, wait);
       }
       case 503:
-        return answer("503 Service Unavailable", "", CallEnd::kTurnedAway, 0);
+        return answer("503 Service Unavailable", "", CallEnd::kRefused, 0);
       default:
         return answer("500 Internal Server Error", "", CallEnd::kError, 0);
     }
@@ -354,7 +354,7 @@
     muted_ = true;
     boost::asio::async_write(socket_, boost::asio::buffer(out_),
                              [self = shared_from_this()](const Error&, size_t) {
-                               if (self->owner_ != nullptr) self->end_call(CallEnd::kSpoilt, 0);
+                               if (self->owner_ != nullptr) self->end_call(CallEnd::kMalformed, 0);
                              });
   }
 
@@ -370,7 +370,7 @@
                              [self = shared_from_this(), end, wait, last](const Error& error, size_t) {
                                if (self->owner_ == nullptr) return;
                                self->answering_ = false;
-                               if (end) self->end_call(error ? CallEnd::kLeft : *end, wait);
+                               if (end) self->end_call(error ? CallEnd::kAbandoned : *end, wait);
                                if (error || last) return self->leave();
                                self->idle();
                                if (self->buffer_.size() > 0) self->parse(steady_now());
@@ -389,7 +389,7 @@
   uint64_t call_ = 0;    // that is out; 0: none
   uint64_t key_ = 0;
   Time came_ = 0;  // its last byte
-  Verdict run_;
+  PartnerResponse run_;
   bool answering_ = false;
   bool closing_ = false;
   bool muted_ = false;  // a call was swallowed: nothing more will come
@@ -421,8 +421,8 @@
 
 // ---- All of them ----
 
-Endpoints::Endpoints(boost::asio::io_context& io, Limits limits, Witness& witness,
-                     std::function<double()> chance, Gate gate)
+Endpoints::Endpoints(boost::asio::io_context& io, Options limits, Observer& witness,
+                     std::function<double()> chance, EarlyStatus gate)
     : io_(io),
       limits_(limits),
       witness_(witness),
@@ -454,12 +454,12 @@
   endpoint->site = site;
   site->endpoint = endpoint.get();
   sites_of_[settings.number] = site;
-  const Trouble trouble = trouble_of(*endpoint);
+  const Fault trouble = trouble_of(*endpoint);
   endpoints_[settings.number] = std::move(endpoint);
-  if (trouble == Trouble::kSilent) {
+  if (trouble == Fault::kSilent) {
     site->listen();
     site->plug();
-  } else if (trouble != Trouble::kRefuse) {
+  } else if (trouble != Fault::kConnectionRefused) {
     site->listen();
   }
 }
@@ -483,16 +483,16 @@
 
 uint16_t Endpoints::port(int endpoint, int relay) const { return sites_of_.at(endpoint)->port(relay); }
 
-Trouble Endpoints::trouble_of(const Endpoint& endpoint) const {
-  return partners_.at(endpoint.settings.destination)->trouble();
+Fault Endpoints::trouble_of(const Endpoint& endpoint) const {
+  return partners_.at(endpoint.settings.destination)->fault();
 }
 
-void Endpoints::begin_trouble(int destination, Trouble trouble, Time until, double amount, bool tells_wait) {
-  partner(destination).begin(trouble, steady_now(), until, amount, tells_wait);
+void Endpoints::begin_fault(int destination, Fault trouble, Time until, double amount, bool tells_wait) {
+  partner(destination).begin_fault(trouble, steady_now(), until, amount, tells_wait);
   for (const auto& [number, endpoint] : endpoints_) {
     if (endpoint->settings.destination != destination) continue;
-    if (trouble == Trouble::kSilent) endpoint->site->plug();
-    if (trouble != Trouble::kRefuse) continue;
+    if (trouble == Fault::kSilent) endpoint->site->plug();
+    if (trouble != Fault::kConnectionRefused) continue;
     endpoint->site->close();
     while (!endpoint->connections.empty()) {
       const auto connection = (*endpoint->connections.begin())->shared_from_this();
@@ -501,8 +501,8 @@
   }
 }
 
-void Endpoints::end_trouble(int destination) {
-  partner(destination).end(steady_now());
+void Endpoints::end_fault(int destination) {
+  partner(destination).end_fault(steady_now());
   for (const auto& [number, endpoint] : endpoints_) {
     if (endpoint->settings.destination != destination) continue;
     std::vector<std::shared_ptr<Connection>> swallowed;
@@ -517,8 +517,8 @@
 void Endpoints::hold_connections(int destination, bool hold) {
   for (const auto& [number, endpoint] : endpoints_) {
     if (endpoint->settings.destination != destination) continue;
-    const Trouble trouble = trouble_of(*endpoint);
-    if (trouble == Trouble::kSilent || trouble == Trouble::kRefuse) continue;
+    const Fault trouble = trouble_of(*endpoint);
+    if (trouble == Fault::kSilent || trouble == Fault::kConnectionRefused) continue;
     if (hold) {
       endpoint->site->plug();
     } else {
--- a/standins/endpoints.h
+++ b/standins/endpoints.h
@@ -23,22 +23,22 @@
 struct EndpointSettings {
   int number = 0;  // of the endpoint, ever new
   int destination = 0;
-  int connections = 0;  // that it takes; 0: no limit
+  int max_connections = 0;  // that it takes; 0: no limit
 };
 
 class Endpoints {
  public:
-  struct Limits {
+  struct Options {
     int relays = 1;
-    int slots = 0;  // calls out at once of one relay; 0: no limit
-    Time idle = 10 * kSecond;
-    size_t most_body = 64 * 1024;
+    int max_calls_per_relay = 0;  // calls out at once of one relay; 0: no limit
+    Time idle_timeout = 10 * kSecond;
+    size_t max_body_bytes = 64 * 1024;
   };
   // What is to be said to a call of this message before it reaches its partner: 410, 504, or nothing.
-  using Gate = std::function<std::optional<int>(uint64_t id)>;
+  using EarlyStatus = std::function<std::optional<int>(uint64_t id)>;
 
-  Endpoints(boost::asio::io_context& io, Limits limits, Witness& witness, std::function<double()> chance,
-            Gate gate);
+  Endpoints(boost::asio::io_context& io, Options limits, Observer& witness, std::function<double()> chance,
+            EarlyStatus gate);
   ~Endpoints();
 
   // Partners live as long as this object; endpoints belong to one.
@@ -53,15 +53,15 @@
   bool is_open(int endpoint) const { return endpoints_.contains(endpoint); }
 
   // Of a whole partner; ends by itself only through `end_trouble`.
-  void begin_trouble(int destination, Trouble trouble, Time until, double amount, bool tells_wait);
-  void end_trouble(int destination);
+  void begin_fault(int destination, Fault trouble, Time until, double amount, bool tells_wait);
+  void end_fault(int destination);
   // New connections to a partner come up late: none while it holds them, the rest when their SYN is sent
   // again. Open ones go on.
   void hold_connections(int destination, bool hold);
 
-  size_t connections() const { return connections_; }
-  size_t calls_out() const { return calls_out_; }
-  uint64_t calls() const { return last_call_; }
+  size_t connection_count() const { return connections_; }
+  size_t calls_in_flight() const { return calls_out_; }
+  uint64_t call_count() const { return last_call_; }
 
  private:
   class Site;
@@ -73,13 +73,13 @@
     std::unordered_set<Connection*> connections;
   };
 
-  Trouble trouble_of(const Endpoint& endpoint) const;
+  Fault trouble_of(const Endpoint& endpoint) const;
 
   boost::asio::io_context& io_;
-  Limits limits_;
-  Witness& witness_;
+  Options limits_;
+  Observer& witness_;
   std::function<double()> chance_;
-  Gate gate_;
+  EarlyStatus gate_;
   std::map<int, std::unique_ptr<Partner>> partners_;
   std::map<int, std::unique_ptr<Endpoint>> endpoints_;
   std::map<int, Site*> sites_of_;  // also of those that have gone
@@ -91,6 +91,6 @@
 };
 
 // A listener on 127.0.0.1 whose port stays its own while it does not listen. Throws system_error.
-tcp::acceptor bound_acceptor(boost::asio::io_context& io);
+tcp::acceptor bind_acceptor(boost::asio::io_context& io);
 
 }  // namespace umberhoist::standins
--- a/standins/front.cpp
+++ b/standins/front.cpp
@@ -33,25 +33,25 @@
   return out;
 }
 
-class Front::Connection : public std::enable_shared_from_this<Connection> {
+class LoadGenerator::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Front& owner, int relay)
+  Connection(LoadGenerator& owner, int relay)
       : owner_(&owner), relay_(relay), socket_(owner.io_), timer_(owner.io_) {}
 
   int relay() const { return relay_; }
 
-  void begin(const Handing& handing, std::string request, uint64_t body, bool once_more) {
+  void begin(const Submission& handing, std::string request, uint64_t body, bool once_more) {
     handing_ = handing;
     request_ = std::move(request);
     body_ = body;
     once_more_ = once_more;
     busy_ = true;
     ++owner_->waiting_;
-    timer_.expires_after(std::chrono::microseconds(owner_->limits_.patience));
+    timer_.expires_after(std::chrono::microseconds(owner_->limits_.reply_timeout));
     timer_.async_wait([self = shared_from_this()](const Error& error) {
       if (error || self->owner_ == nullptr || !self->busy_) return;
       if (!self->open_) return self->unreached();
-      self->give_up(Unanswered::kGaveUp);
+      self->give_up(NoReplyReason::kTimeout);
     });
     if (open_) return write();
     socket_.async_connect(owner_->relays_[static_cast<size_t>(relay_)],
@@ -75,7 +75,7 @@
 
  private:
   void write() {
-    if (!once_more_) owner_->witness_.handed_in(steady_now(), handing_, body_);
+    if (!once_more_) owner_->witness_.on_submitted(steady_now(), handing_, body_);
     boost::asio::async_write(
         socket_, boost::asio::buffer(request_),
         [self = shared_from_this()](const Error&, size_t) {});  // its end shows in the read
@@ -108,18 +108,19 @@
     const Time now = steady_now();
     const uint64_t id = handing_.id;
     rest();
-    Witness& witness = owner_->witness_;
+    Observer& witness = owner_->witness_;
     const auto owner = owner_;
-    if (line_.empty() && owner->idle_[static_cast<size_t>(relay_)].size() < owner->limits_.most_idle) {
+    if (line_.empty() &&
+        owner->idle_[static_cast<size_t>(relay_)].size() < owner->limits_.max_idle_connections) {
       owner->idle_[static_cast<size_t>(relay_)].push_back(shared_from_this());
     } else {
       leave();
     }
-    if (line.starts_with("+") || line.starts_with("$")) return witness.taken_on(now, id);
-    if (!line.starts_with("-BUSY")) return witness.answered_failed(now, id, line);
+    if (line.starts_with("+") || line.starts_with("$")) return witness.on_accepted(now, id);
+    if (!line.starts_with("-BUSY")) return witness.on_failed(now, id, line);
     int64_t ms = 0;
     if (line.size() > 6) std::from_chars(line.data() + 6, line.data() + line.size(), ms);
-    witness.turned_away(now, id, ms * kMillisecond);
+    witness.on_refused(now, id, ms * kMillisecond);
   }
 
   void rest() {
@@ -132,8 +133,8 @@
   // A relay may close between requests. One that crosses the close is sent once more, on a new connection.
   void closed() {
     if (!busy_) return leave();
-    Front* owner = owner_;
-    const Handing handing = handing_;
+    LoadGenerator* owner = owner_;
+    const Submission handing = handing_;
     std::string request = std::move(request_);
     const bool again = once_more_;
     const uint64_t body = body_;
@@ -144,32 +145,33 @@
     timer->expires_after(std::chrono::microseconds(kNoticeDeath));
     timer->async_wait([owner, handing, timer, alive = owner->alive_](const Error& error) {
       if (error || !*alive) return;
-      owner->witness_.unanswered(steady_now(), handing.id,
-                                 owner->down_(handing.relay) ? Unanswered::kDied : Unanswered::kClosed);
+      owner->witness_.on_no_reply(
+          steady_now(), handing.id,
+          owner->down_(handing.relay) ? NoReplyReason::kRelayExited : NoReplyReason::kConnectionClosed);
     });
   }
 
   void unreached() {
-    Front* owner = owner_;
-    const Handing handing = handing_;
+    LoadGenerator* owner = owner_;
+    const Submission handing = handing_;
     const bool again = once_more_;
     rest();
     leave();
-    if (again) return owner->witness_.unanswered(steady_now(), handing.id, Unanswered::kDied);
-    owner->witness_.not_reached(steady_now(), handing);
+    if (again) return owner->witness_.on_no_reply(steady_now(), handing.id, NoReplyReason::kRelayExited);
+    owner->witness_.on_connect_failed(steady_now(), handing);
   }
 
-  void give_up(Unanswered how) {
-    Front* owner = owner_;
+  void give_up(NoReplyReason how) {
+    LoadGenerator* owner = owner_;
     const uint64_t id = handing_.id;
     rest();
     leave();
-    owner->witness_.unanswered(steady_now(), id, how);
+    owner->witness_.on_no_reply(steady_now(), id, how);
   }
 
   void leave() {
     if (owner_ == nullptr) return;
-    Front* owner = std::exchange(owner_, nullptr);
+    LoadGenerator* owner = std::exchange(owner_, nullptr);
     Error ignored;
     socket_.close(ignored);
     timer_.cancel();
@@ -177,11 +179,11 @@
     owner->connections_.erase(shared_from_this());
   }
 
-  Front* owner_;
+  LoadGenerator* owner_;
   int relay_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  Handing handing_;
+  Submission handing_;
   std::string request_;
   uint64_t body_ = 0;
   std::string line_;
@@ -191,8 +193,8 @@
   bool once_more_ = false;
 };
 
-Front::Front(boost::asio::io_context& io, std::vector<tcp::endpoint> relays, Limits limits, Witness& witness,
-             Down down)
+LoadGenerator::LoadGenerator(boost::asio::io_context& io, std::vector<tcp::endpoint> relays, Options limits,
+                             Observer& witness, IsDown down)
     : io_(io),
       relays_(std::move(relays)),
       used_(relays_.size(), false),
@@ -201,14 +203,14 @@
       down_(std::move(down)),
       idle_(relays_.size()) {}
 
-Front::~Front() {
+LoadGenerator::~LoadGenerator() {
   *alive_ = false;
   for (const auto& connection : connections_) connection->orphan();
 }
 
-void Front::use(int relay, bool used) { used_[static_cast<size_t>(relay)] = used; }
+void LoadGenerator::set_enabled(int relay, bool used) { used_[static_cast<size_t>(relay)] = used; }
 
-int Front::pick() {
+int LoadGenerator::pick_relay() {
   for (size_t i = 0; i < used_.size(); ++i) {
     turn_ = (turn_ + 1) % used_.size();
     if (used_[turn_]) return static_cast<int>(turn_);
@@ -216,11 +218,12 @@
   return -1;
 }
 
-void Front::hand_in(const Handing& handing, const std::string& facts, std::string body) {
+void LoadGenerator::submit(const Submission& handing, const std::string& facts, std::string body) {
   send(handing, put_request(handing.id, facts, body), hash_bytes(body), false);
 }
 
-void Front::send(const Handing& handing, const std::string& request, uint64_t body, bool once_more) {
+void LoadGenerator::send(const Submission& handing, const std::string& request, uint64_t body,
+                         bool once_more) {
   auto& idle = idle_[static_cast<size_t>(handing.relay)];
   std::shared_ptr<Connection> connection;
   if (!idle.empty() && !once_more) {
@@ -234,7 +237,7 @@
   connection->begin(handing, request, body, once_more);
 }
 
-void Front::ping(int relay, std::function<void(bool)> answer) {
+void LoadGenerator::ping(int relay, std::function<void(bool)> answer) {
   struct Ping {
     explicit Ping(boost::asio::io_context& io) : socket(io), timer(io) {}
     tcp::socket socket;
@@ -248,7 +251,7 @@
     ping->timer.cancel();
     answer(good);
   };
-  ping->timer.expires_after(std::chrono::microseconds(limits_.patience));
+  ping->timer.expires_after(std::chrono::microseconds(limits_.reply_timeout));
   ping->timer.async_wait([ping, end](const Error& error) {
     if (error) return;
     Error ignored;
@@ -271,7 +274,7 @@
 
 // ---- Silent clients ----
 
-Crowd::Crowd(boost::asio::io_context& io, tcp::endpoint relay, double per_second, Time until)
+IdleClients::IdleClients(boost::asio::io_context& io, tcp::endpoint relay, double per_second, Time until)
     : io_(io),
       relay_(std::move(relay)),
       gap_(static_cast<Time>(1e6 / std::max(1.0, per_second))),
@@ -281,14 +284,14 @@
   more();
 }
 
-Crowd::~Crowd() {
+IdleClients::~IdleClients() {
   for (const auto& socket : sockets_) {
     Error ignored;
     socket->close(ignored);
   }
 }
 
-void Crowd::more() {
+void IdleClients::more() {
   const Time now = steady_now();
   if (now >= until_) return sockets_.clear();
   for (; next_ <= now; next_ += gap_) {
--- a/standins/front.h
+++ b/standins/front.h
@@ -21,43 +21,43 @@
 // MSG.PUT as one RESP2 array.
 std::string put_request(uint64_t id, const std::string& facts, const std::string& body);
 
-class Front {
+class LoadGenerator {
  public:
-  struct Limits {
-    Time patience = 400 * kMillisecond;  // a client waits so long for an answer
-    size_t most_idle = 64;               // connections kept to each relay
+  struct Options {
+    Time reply_timeout = 400 * kMillisecond;  // a client waits so long for an answer
+    size_t max_idle_connections = 64;         // connections kept to each relay
   };
   // True: the relay's process is not running, or on its way to end.
-  using Down = std::function<bool(int relay)>;
+  using IsDown = std::function<bool(int relay)>;
 
-  Front(boost::asio::io_context& io, std::vector<tcp::endpoint> relays, Limits limits, Witness& witness,
-        Down down);
-  ~Front();
+  LoadGenerator(boost::asio::io_context& io, std::vector<tcp::endpoint> relays, Options limits,
+                Observer& witness, IsDown down);
+  ~LoadGenerator();
 
   // Whether the front deals messages to it.
-  void use(int relay, bool used);
+  void set_enabled(int relay, bool used);
   // The next one in turn; -1: none is in use.
-  int pick();
+  int pick_relay();
   // `facts` as in MSG.PUT: "c=...,d=...,dest=...".
-  void hand_in(const Handing& handing, const std::string& facts, std::string body);
+  void submit(const Submission& handing, const std::string& facts, std::string body);
   // Answers once: true when it said +PONG, false when it did not within `patience`.
   void ping(int relay, std::function<void(bool)> answer);
 
-  size_t connections() const { return connections_.size(); }
-  size_t waiting() const { return waiting_; }
-  uint64_t opened() const { return opened_; }
+  size_t connection_count() const { return connections_.size(); }
+  size_t pending_replies() const { return waiting_; }
+  uint64_t connections_opened() const { return opened_; }
 
  private:
   class Connection;
 
-  void send(const Handing& handing, const std::string& request, uint64_t body, bool once_more);
+  void send(const Submission& handing, const std::string& request, uint64_t body, bool once_more);
 
   boost::asio::io_context& io_;
   std::vector<tcp::endpoint> relays_;
   std::vector<bool> used_;
-  Limits limits_;
-  Witness& witness_;
-  Down down_;
+  Options limits_;
+  Observer& witness_;
+  IsDown down_;
   size_t turn_ = 0;
   size_t waiting_ = 0;
   uint64_t opened_ = 0;
@@ -67,10 +67,10 @@
 };
 
 // Clients that connect and say nothing, at a rate, each again when it was closed.
-class Crowd {
+class IdleClients {
  public:
-  Crowd(boost::asio::io_context& io, tcp::endpoint relay, double per_second, Time until);
-  ~Crowd();
+  IdleClients(boost::asio::io_context& io, tcp::endpoint relay, double per_second, Time until);
+  ~IdleClients();
 
  private:
   void more();
--- a/standins/partner.h
+++ b/standins/partner.h
@@ -15,33 +15,43 @@
 
 struct PartnerSettings {
   int destination = 0;
-  Time service = 50 * kMillisecond;  // mean time of a call when warm
+  Time mean_service_time = 50 * kMillisecond;  // mean time of a call when warm
   double cv = 0.5;
-  int places = 4;            // calls served at once
-  Time queue = kSecond / 2;  // a call that would wait longer for a place is turned away
+  int concurrency = 4;                // calls served at once
+  Time max_queue_wait = kSecond / 2;  // a call that would wait longer for a place is turned away
   enum class Limit { kNone, kRate, kWindow } limit = Limit::kNone;
-  double limit_rate = 0;               // calls a second
-  Time span = kSecond;                 // of a windowed limit
-  double tells_wait = 0.5;             // share of the refusals above the limit or while shut
-  Time wait_low = 200 * kMillisecond;  // told by a plain rate
-  Time wait_high = 700 * kMillisecond;
+  double limit_rate = 0;                      // calls a second
+  Time limit_window = kSecond;                // of a windowed limit
+  double retry_after_share = 0.5;             // share of the refusals above the limit or while shut
+  Time min_retry_after = 200 * kMillisecond;  // told by a plain rate
+  Time max_retry_after = 700 * kMillisecond;
   double error_rate = 0;
   Time key_window = 15 * kSecond;
-  Time cold = 12 * kSecond;  // from an outage's end until it is warm
+  Time slow_start = 12 * kSecond;  // from an outage's end until it is warm
   double start_capacity = 0.21;
-  double fall_multiple = 2;
-  Time fall_window = 3 * kSecond;
+  double overload_factor = 2;
+  Time overload_window = 3 * kSecond;
 };
 
-enum class Trouble { kNone, kSilent, kHang, kShut, kRefuse, kFail, kSlow, kReset, kSpoil };
+enum class Fault {
+  kNone,
+  kSilent,
+  kHang,
+  kUnavailable,
+  kConnectionRefused,
+  kServerError,
+  kSlow,
+  kReset,
+  kMalformed
+};
 
-struct Verdict {
-  enum class What { kAnswer, kNothing, kReset, kSpoilt } what = What::kAnswer;
+struct PartnerResponse {
+  enum class Kind { kResponse, kNone, kReset, kMalformed } kind = Kind::kResponse;
   int status = 200;
-  Time at = 0;    // when it is answered or broken off
-  Time wait = 0;  // told with 429
-  bool runs = false;
-  Time runs_at = 0;
+  Time at = 0;           // when it is answered or broken off
+  Time retry_after = 0;  // told with 429
+  bool executes = false;
+  Time executes_at = 0;
 };
 
 class Partner {
@@ -51,28 +61,28 @@
   Partner(PartnerSettings settings, Chance chance);
 
   // A call whose last byte has come.
-  Verdict call(Time now);
+  PartnerResponse handle_call(Time now);
   // It runs: false where its key was remembered when it came, so that the repeat is dropped.
-  bool run(Time came, uint64_t key);
+  bool execute(Time came, uint64_t key);
   bool probe(Time now);  // true: it says that it is well
 
-  void begin(Trouble trouble, Time now, Time until, double amount, bool tells_wait);
-  void end(Time now);
-  Trouble trouble() const { return trouble_; }
-  bool fallen() const { return fallen_; }
-  double capacity() const;        // calls a second when warm
-  double warmth(Time now) const;  // share of it that it has now
+  void begin_fault(Fault trouble, Time now, Time until, double amount, bool tells_wait);
+  void end_fault(Time now);
+  Fault fault() const { return trouble_; }
+  bool overloaded() const { return fallen_; }
+  double capacity() const;                // calls a second when warm
+  double capacity_share(Time now) const;  // share of it that it has now
   const PartnerSettings& settings() const { return settings_; }
 
  private:
   bool weigh(Time now);  // false: it fell over
   bool take_limit(Time now, Time& free_at);
-  Verdict turn_away(Time now, Time wait);
+  PartnerResponse turn_away(Time now, Time wait);
   double lognormal(double cv);
 
   PartnerSettings settings_;
   Chance chance_;
-  Trouble trouble_ = Trouble::kNone;
+  Fault trouble_ = Fault::kNone;
   Time until_ = 0;
   double amount_ = 0;
   bool tells_wait_ = false;
--- a/standins/process.cpp
+++ b/standins/process.cpp
@@ -16,28 +16,28 @@
 
 namespace umberhoist::standins {
 
-Process::Process(std::string program, std::filesystem::path folder, int descriptors)
+RelayProcess::RelayProcess(std::string program, std::filesystem::path folder, int descriptors)
     : program_(std::move(program)), folder_(std::move(folder)), descriptors_(descriptors) {
-  std::filesystem::create_directories(state());
+  std::filesystem::create_directories(state_folder());
 }
 
-Process::~Process() {
+RelayProcess::~RelayProcess() {
   if (child_ <= 0) return;
   ::kill(child_, SIGKILL);
   ::waitpid(child_, nullptr, 0);
 }
 
-void Process::configure(const std::string& json) {
+void RelayProcess::write_config(const std::string& json) {
   std::ofstream(folder_ / "config.new", std::ios::binary) << json;
   std::filesystem::rename(folder_ / "config.new", folder_ / "config.json");
 }
 
-void Process::start() {
+void RelayProcess::start() {
   const std::string config = folder_ / "config.json";
-  const std::string state_folder = state();
-  const std::string temporary_folder = temporary();
-  std::filesystem::remove_all(temporary());
-  std::filesystem::create_directories(temporary());
+  const std::string state_path = state_folder();
+  const std::string temporary_path = temporary_folder();
+  std::filesystem::remove_all(temporary_folder());
+  std::filesystem::create_directories(temporary_folder());
   std::map<std::string, std::string> told;
   const auto json = nlohmann::json::parse(std::ifstream(config), nullptr, false);
   for (const auto& [variable, key] :
@@ -65,8 +65,8 @@
     ::sigprocmask(SIG_SETMASK, &none, nullptr);
     ::setsid();  // Ctrl-C is the kit's to pass on
     ::setenv("PROXY_CONFIG", config.c_str(), 1);
-    ::setenv("PROXY_STATE", state_folder.c_str(), 1);
-    ::setenv("TMPDIR", temporary_folder.c_str(), 1);
+    ::setenv("PROXY_STATE", state_path.c_str(), 1);
+    ::setenv("TMPDIR", temporary_path.c_str(), 1);
     for (const auto& [variable, value] : told) ::setenv(variable.c_str(), value.c_str(), 1);
     ::execl(program_.c_str(), program_.c_str(), nullptr);
     ::_exit(127);
@@ -75,21 +75,21 @@
   if (child_ < 0) throw std::runtime_error(std::string("cannot fork: ") + std::strerror(errno));
 }
 
-void Process::signal(int number) {
+void RelayProcess::signal(int number) {
   if (child_ > 0) ::kill(child_, number);
 }
 
-bool Process::ended() {
+bool RelayProcess::has_exited() {
   if (child_ <= 0) return true;
   if (::waitpid(child_, &status_, WNOHANG) != child_) return false;
   child_ = -1;
   return true;
 }
 
-void Process::forget_state() {
+void RelayProcess::delete_state() {
   std::error_code ignored;
-  std::filesystem::remove_all(state(), ignored);
-  std::filesystem::create_directories(state());
+  std::filesystem::remove_all(state_folder(), ignored);
+  std::filesystem::create_directories(state_folder());
 }
 
 }  // namespace umberhoist::standins
--- a/standins/process.h
+++ b/standins/process.h
@@ -9,28 +9,28 @@
 
 namespace umberhoist::standins {
 
-class Process {
+class RelayProcess {
  public:
   // `folder` holds its configuration, its log, in "state" what lasts and in "tmp" what does not. It may hold
   // so many `descriptors`.
-  Process(std::string program, std::filesystem::path folder, int descriptors);
-  ~Process();  // kills it
-  Process(const Process&) = delete;
-  Process& operator=(const Process&) = delete;
+  RelayProcess(std::string program, std::filesystem::path folder, int descriptors);
+  ~RelayProcess();  // kills it
+  RelayProcess(const RelayProcess&) = delete;
+  RelayProcess& operator=(const RelayProcess&) = delete;
 
-  void configure(const std::string& json);  // replaces the file whole
+  void write_config(const std::string& json);  // replaces the file whole
   // With the environment that the deployment page tells of, an empty temporary folder, and a session of its
   // own, by which its helpers are known. Throws std::runtime_error.
   void start();
   void signal(int number);
   // True once it has ended, and then each time until the next start.
-  bool ended();
-  int status() const { return status_; }  // as waitpid gives it
-  bool running() const { return child_ > 0; }
+  bool has_exited();
+  int exit_status() const { return status_; }  // as waitpid gives it
+  bool is_running() const { return child_ > 0; }
   pid_t pid() const { return child_; }
-  void forget_state();  // the machine is lost with its folder
-  std::filesystem::path state() const { return folder_ / "state"; }
-  std::filesystem::path temporary() const { return folder_ / "tmp"; }
+  void delete_state();  // the machine is lost with its folder
+  std::filesystem::path state_folder() const { return folder_ / "state"; }
+  std::filesystem::path temporary_folder() const { return folder_ / "tmp"; }
 
  private:
   std::string program_;
--- a/standins/witness.h
+++ b/standins/witness.h
@@ -26,7 +26,7 @@
 }
 
 // One handing-in of a message. A client that comes again uses a new id; `message` stays the same.
-struct Handing {
+struct Submission {
   uint64_t id = 0;
   uint64_t message = 0;
   int relay = 0;
@@ -47,127 +47,127 @@
 };
 
 enum class CallEnd {
-  kDelivered,   // 200
-  kError,       // 500
-  kTurnedAway,  // 429, 503 and 504: it never ran
-  kOver,        // 410: the message is over
-  kReset,       // the endpoint broke the connection
-  kSpoilt,      // what was written is no answer
-  kLeft         // the relay closed its connection, or its process ended
+  kDelivered,    // 200
+  kError,        // 500
+  kRefused,      // 429, 503 and 504: it never ran
+  kMessageOver,  // 410: the message is over
+  kReset,        // the endpoint broke the connection
+  kMalformed,    // what was written is no answer
+  kAbandoned     // the relay closed its connection, or its process ended
 };
 
-enum class Phase { kActive, kLeaving, kLeft };
+enum class HostState { kActive, kDraining, kRemoved };
 
 enum class RelayEvent {
   kStarted,
-  kReady,    // it answered PING
-  kSigterm,  // of a planned restart
-  kSighup,   // discovery has moved
-  kKilled,   // SIGKILL by the script
-  kLost,     // the machine with its folder
-  kEnded,    // after SIGTERM, by itself
-  kCrashed   // by itself, not asked to
+  kReady,        // it answered PING
+  kSigterm,      // of a planned restart
+  kSighup,       // discovery has moved
+  kKilled,       // SIGKILL by the script
+  kMachineLost,  // the machine with its folder
+  kEnded,        // after SIGTERM, by itself
+  kCrashed       // by itself, not asked to
 };
 
-enum class Unanswered {
-  kGaveUp,  // the client waited long enough
-  kClosed,  // the relay closed the connection on a request that it had been written
-  kDied     // the relay's process ended
+enum class NoReplyReason {
+  kTimeout,           // the client waited long enough
+  kConnectionClosed,  // the relay closed the connection on a request that it had been written
+  kRelayExited        // the relay's process ended
 };
 
 uint64_t hash_bytes(std::string_view bytes);  // FNV-1a
 std::string hex(uint64_t value);              // 16 digits
 
-class Witness {
+class Observer {
  public:
-  virtual ~Witness() = default;
-  virtual void handed_in(Time /*at*/, const Handing&, uint64_t /*body*/) {}
+  virtual ~Observer() = default;
+  virtual void on_submitted(Time /*at*/, const Submission&, uint64_t /*body*/) {}
   // No connection to its relay came up: nothing was handed in.
-  virtual void not_reached(Time /*at*/, const Handing&) {}
-  virtual void taken_on(Time /*at*/, uint64_t /*id*/) {}
-  virtual void turned_away(Time /*at*/, uint64_t /*id*/, Time /*after*/) {}
-  virtual void answered_failed(Time /*at*/, uint64_t /*id*/, const std::string& /*line*/) {}
-  virtual void unanswered(Time /*at*/, uint64_t /*id*/, Unanswered) {}
-  virtual void called(Time /*at*/, const Call&) {}
-  virtual void ran(Time /*at*/, uint64_t /*call*/, bool /*effect*/) {}
-  virtual void call_ended(Time /*at*/, uint64_t /*call*/, CallEnd, Time /*wait*/) {}
-  virtual void probed(Time /*at*/, int /*relay*/, int /*endpoint*/, bool /*ok*/) {}
-  virtual void notice(Time /*at*/, int /*relay*/, uint64_t /*id*/, bool /*returned*/, Time /*after*/) {}
+  virtual void on_connect_failed(Time /*at*/, const Submission&) {}
+  virtual void on_accepted(Time /*at*/, uint64_t /*id*/) {}
+  virtual void on_refused(Time /*at*/, uint64_t /*id*/, Time /*after*/) {}
+  virtual void on_failed(Time /*at*/, uint64_t /*id*/, const std::string& /*line*/) {}
+  virtual void on_no_reply(Time /*at*/, uint64_t /*id*/, NoReplyReason) {}
+  virtual void on_call(Time /*at*/, const Call&) {}
+  virtual void on_executed(Time /*at*/, uint64_t /*call*/, bool /*effect*/) {}
+  virtual void on_call_ended(Time /*at*/, uint64_t /*call*/, CallEnd, Time /*wait*/) {}
+  virtual void on_probe(Time /*at*/, int /*relay*/, int /*endpoint*/, bool /*ok*/) {}
+  virtual void on_notice(Time /*at*/, int /*relay*/, uint64_t /*id*/, bool /*returned*/, Time /*after*/) {}
   // The list changed; the agent of one relay has been sent the change; it has written it to that relay.
-  virtual void listed(Time /*at*/, int /*endpoint*/, int /*destination*/, Phase) {}
-  virtual void agent_learned(Time /*at*/, int /*relay*/, int /*endpoint*/, Phase) {}
-  virtual void told(Time /*at*/, int /*relay*/, int /*endpoint*/, Phase) {}
+  virtual void on_list_changed(Time /*at*/, int /*endpoint*/, int /*destination*/, HostState) {}
+  virtual void on_agent_updated(Time /*at*/, int /*relay*/, int /*endpoint*/, HostState) {}
+  virtual void on_relay_notified(Time /*at*/, int /*relay*/, int /*endpoint*/, HostState) {}
   // Of a whole destination: calls a second that it takes when warm. `fails` while it lasts.
-  virtual void outage_began(Time /*at*/, int /*destination*/) {}
-  virtual void outage_ended(Time /*at*/, int /*destination*/, double /*capacity*/) {}
-  virtual void relay_event(Time /*at*/, int /*relay*/, RelayEvent) {}
+  virtual void on_outage_started(Time /*at*/, int /*destination*/) {}
+  virtual void on_outage_ended(Time /*at*/, int /*destination*/, double /*capacity*/) {}
+  virtual void on_relay_event(Time /*at*/, int /*relay*/, RelayEvent) {}
   // It was ended over a limit of the platform's; `curve` is what was measured before, for people.
-  virtual void over_limit(Time /*at*/, int /*relay*/, const std::string& /*what*/,
-                          const std::vector<std::string>& /*curve*/) {}
+  virtual void on_limit_exceeded(Time /*at*/, int /*relay*/, const std::string& /*what*/,
+                                 const std::vector<std::string>& /*curve*/) {}
 };
 
 // Tells each of several.
-class Witnesses : public Witness {
+class ObserverList : public Observer {
  public:
-  void add(Witness& witness) { all_.push_back(&witness); }
-  void handed_in(Time at, const Handing& h, uint64_t body) override {
-    for (Witness* w : all_) w->handed_in(at, h, body);
+  void add(Observer& witness) { all_.push_back(&witness); }
+  void on_submitted(Time at, const Submission& h, uint64_t body) override {
+    for (Observer* w : all_) w->on_submitted(at, h, body);
   }
-  void not_reached(Time at, const Handing& h) override {
-    for (Witness* w : all_) w->not_reached(at, h);
+  void on_connect_failed(Time at, const Submission& h) override {
+    for (Observer* w : all_) w->on_connect_failed(at, h);
   }
-  void taken_on(Time at, uint64_t id) override {
-    for (Witness* w : all_) w->taken_on(at, id);
+  void on_accepted(Time at, uint64_t id) override {
+    for (Observer* w : all_) w->on_accepted(at, id);
   }
-  void turned_away(Time at, uint64_t id, Time after) override {
-    for (Witness* w : all_) w->turned_away(at, id, after);
+  void on_refused(Time at, uint64_t id, Time after) override {
+    for (Observer* w : all_) w->on_refused(at, id, after);
   }
-  void answered_failed(Time at, uint64_t id, const std::string& line) override {
-    for (Witness* w : all_) w->answered_failed(at, id, line);
+  void on_failed(Time at, uint64_t id, const std::string& line) override {
+    for (Observer* w : all_) w->on_failed(at, id, line);
   }
-  void unanswered(Time at, uint64_t id, Unanswered how) override {
-    for (Witness* w : all_) w->unanswered(at, id, how);
+  void on_no_reply(Time at, uint64_t id, NoReplyReason how) override {
+    for (Observer* w : all_) w->on_no_reply(at, id, how);
   }
-  void called(Time at, const Call& call) override {
-    for (Witness* w : all_) w->called(at, call);
+  void on_call(Time at, const Call& call) override {
+    for (Observer* w : all_) w->on_call(at, call);
   }
-  void ran(Time at, uint64_t call, bool effect) override {
-    for (Witness* w : all_) w->ran(at, call, effect);
+  void on_executed(Time at, uint64_t call, bool effect) override {
+    for (Observer* w : all_) w->on_executed(at, call, effect);
   }
-  void call_ended(Time at, uint64_t call, CallEnd end, Time wait) override {
-    for (Witness* w : all_) w->call_ended(at, call, end, wait);
+  void on_call_ended(Time at, uint64_t call, CallEnd end, Time wait) override {
+    for (Observer* w : all_) w->on_call_ended(at, call, end, wait);
   }
-  void probed(Time at, int relay, int endpoint, bool ok) override {
-    for (Witness* w : all_) w->probed(at, relay, endpoint, ok);
+  void on_probe(Time at, int relay, int endpoint, bool ok) override {
+    for (Observer* w : all_) w->on_probe(at, relay, endpoint, ok);
   }
-  void notice(Time at, int relay, uint64_t id, bool returned, Time after) override {
-    for (Witness* w : all_) w->notice(at, relay, id, returned, after);
+  void on_notice(Time at, int relay, uint64_t id, bool returned, Time after) override {
+    for (Observer* w : all_) w->on_notice(at, relay, id, returned, after);
   }
-  void listed(Time at, int endpoint, int destination, Phase phase) override {
-    for (Witness* w : all_) w->listed(at, endpoint, destination, phase);
+  void on_list_changed(Time at, int endpoint, int destination, HostState phase) override {
+    for (Observer* w : all_) w->on_list_changed(at, endpoint, destination, phase);
   }
-  void agent_learned(Time at, int relay, int endpoint, Phase phase) override {
-    for (Witness* w : all_) w->agent_learned(at, relay, endpoint, phase);
+  void on_agent_updated(Time at, int relay, int endpoint, HostState phase) override {
+    for (Observer* w : all_) w->on_agent_updated(at, relay, endpoint, phase);
   }
-  void told(Time at, int relay, int endpoint, Phase phase) override {
-    for (Witness* w : all_) w->told(at, relay, endpoint, phase);
+  void on_relay_notified(Time at, int relay, int endpoint, HostState phase) override {
+    for (Observer* w : all_) w->on_relay_notified(at, relay, endpoint, phase);
   }
-  void outage_began(Time at, int destination) override {
-    for (Witness* w : all_) w->outage_began(at, destination);
+  void on_outage_started(Time at, int destination) override {
+    for (Observer* w : all_) w->on_outage_started(at, destination);
   }
-  void outage_ended(Time at, int destination, double capacity) override {
-    for (Witness* w : all_) w->outage_ended(at, destination, capacity);
+  void on_outage_ended(Time at, int destination, double capacity) override {
+    for (Observer* w : all_) w->on_outage_ended(at, destination, capacity);
   }
-  void relay_event(Time at, int relay, RelayEvent event) override {
-    for (Witness* w : all_) w->relay_event(at, relay, event);
+  void on_relay_event(Time at, int relay, RelayEvent event) override {
+    for (Observer* w : all_) w->on_relay_event(at, relay, event);
   }
-  void over_limit(Time at, int relay, const std::string& what,
-                  const std::vector<std::string>& curve) override {
-    for (Witness* w : all_) w->over_limit(at, relay, what, curve);
+  void on_limit_exceeded(Time at, int relay, const std::string& what,
+                         const std::vector<std::string>& curve) override {
+    for (Observer* w : all_) w->on_limit_exceeded(at, relay, what, curve);
   }
 
  private:
-  std::vector<Witness*> all_;
+  std::vector<Observer*> all_;
 };
 
 }  // namespace umberhoist
--- a/tests/limits/judge_test.cpp
+++ b/tests/limits/judge_test.cpp
@@ -13,24 +13,24 @@
 
 constexpr size_t kMb = 1'000'000;
 
-Usage of_memory(size_t resident, size_t peak = 0, size_t temporary = 0) {
-  Usage out;
+ResourceUsage of_memory(size_t resident, size_t peak = 0, size_t temporary = 0) {
+  ResourceUsage out;
   out.resident = resident;
-  out.peak = peak;
+  out.peak_resident = peak;
   out.temporary = temporary;
   out.processes = 1;
   return out;
 }
 
 TEST(Limits, EachIsPassedOnlyOverIt) {
-  const Limits limits{100 * kMb, 3 * kMb, 64, 50};
+  const ResourceLimits limits{100 * kMb, 3 * kMb, 64, 50};
   struct At {
     const char* limit;
-    Usage within, over;
+    ResourceUsage within, over;
   };
-  Usage disk, disk_over, descriptors, descriptors_over, sockets, sockets_over;
+  ResourceUsage disk, disk_over, descriptors, descriptors_over, sockets, sockets_over;
   disk.disk = 3 * kMb;
-  disk_over.disk = 3 * kMb + kBlock;
+  disk_over.disk = 3 * kMb + kDiskBlockBytes;
   descriptors.descriptors = 64;
   descriptors_over.descriptors = 65;
   sockets.sockets = 50;
@@ -40,40 +40,41 @@
         At{"memory", of_memory(60 * kMb, 0, 40 * kMb), of_memory(60 * kMb, 0, 40 * kMb + 1)},
         At{"memory", of_memory(kMb, 100 * kMb), of_memory(kMb, 100 * kMb + 1)}, At{"disk", disk, disk_over},
         At{"descriptors", descriptors, descriptors_over}, At{"sockets", sockets, sockets_over}}) {
-    Judge judge(limits);
-    EXPECT_FALSE(judge.see(kSecond, at.within)) << at.limit;
-    const auto exceeded = judge.see(2 * kSecond, at.over);
+    LimitMonitor judge(limits);
+    EXPECT_FALSE(judge.add_sample(kSecond, at.within)) << at.limit;
+    const auto exceeded = judge.add_sample(2 * kSecond, at.over);
     ASSERT_TRUE(exceeded) << at.limit;
     EXPECT_EQ(exceeded->limit, at.limit);
-    EXPECT_EQ(exceeded->curve.size(), 2u) << "what was measured before it, and itself";
-    EXPECT_FALSE(judge.see(3 * kSecond, at.over)) << "said once in a process's life";
-    judge.started(4 * kSecond);
-    EXPECT_TRUE(judge.see(5 * kSecond, at.over));
+    EXPECT_EQ(exceeded->recent_samples.size(), 2u) << "what was measured before it, and itself";
+    EXPECT_FALSE(judge.add_sample(3 * kSecond, at.over)) << "said once in a process's life";
+    judge.on_process_started(4 * kSecond);
+    EXPECT_TRUE(judge.add_sample(5 * kSecond, at.over));
   }
 }
 
 TEST(Limits, AFolderWrittenByManySmallFilesRoundsEachUp) {
-  EXPECT_EQ(counted(0), 0u);
-  EXPECT_EQ(counted(1), 512u);
-  EXPECT_EQ(counted(512), 512u);
-  EXPECT_EQ(counted(513), 1024u);
+  EXPECT_EQ(block_rounded(0), 0u);
+  EXPECT_EQ(block_rounded(1), 512u);
+  EXPECT_EQ(block_rounded(512), 512u);
+  EXPECT_EQ(block_rounded(513), 1024u);
 }
 
 TEST(Limits, TheCurveIsShortAndEndsWithTheBreach) {
-  Judge judge({100 * kMb, 0, 0, 0});
-  for (int i = 0; i < 1000; ++i) EXPECT_FALSE(judge.see(i * 20 * kMillisecond, of_memory(kMb)));
-  const auto exceeded = judge.see(1000 * 20 * kMillisecond, of_memory(200 * kMb));
+  LimitMonitor judge({100 * kMb, 0, 0, 0});
+  for (int i = 0; i < 1000; ++i) EXPECT_FALSE(judge.add_sample(i * 20 * kMillisecond, of_memory(kMb)));
+  const auto exceeded = judge.add_sample(1000 * 20 * kMillisecond, of_memory(200 * kMb));
   ASSERT_TRUE(exceeded);
-  EXPECT_LE(exceeded->curve.size(), Judge::kCurveLines);
-  EXPECT_NE(exceeded->curve.back().find("resident 200.0 MB"), std::string::npos) << exceeded->curve.back();
+  EXPECT_LE(exceeded->recent_samples.size(), LimitMonitor::kMaxHistoryLines);
+  EXPECT_NE(exceeded->recent_samples.back().find("resident 200.0 MB"), std::string::npos)
+      << exceeded->recent_samples.back();
 }
 
 // One run of a relay: memory at each tenth of a second as a function of the time in seconds.
 template <class Memory>
-Growth grown(double seconds, Memory memory) {
-  Judge judge({});
+MemoryGrowth grown(double seconds, Memory memory) {
+  LimitMonitor judge({});
   for (int i = 0; i < static_cast<int>(seconds * 10); ++i) {
-    judge.see(i * 100 * kMillisecond, of_memory(static_cast<size_t>(memory(i / 10.0) * 1e6)));
+    judge.add_sample(i * 100 * kMillisecond, of_memory(static_cast<size_t>(memory(i / 10.0) * 1e6)));
   }
   return judge.growth();
 }
@@ -97,46 +98,47 @@
            {"a slow leak", true, [&](double t) { return 20 + 0.12 * t + n(); }},
            {"a leak under waves", true, [&](double t) { return 30 + 6 * std::sin(t) + 0.2 * t + n(); }},
            {"a leak in steps", true, [&](double t) { return 20 + 3 * std::floor(t / 7) + n(); }}}) {
-    const Growth growth = grown(120, s.memory);
-    EXPECT_TRUE(growth.judged) << s.name;
-    EXPECT_EQ(growth.leak, s.leak) << s.name << ": " << growth.mb << " MB, " << growth.rises << " rises";
+    const MemoryGrowth growth = grown(120, s.memory);
+    EXPECT_TRUE(growth.evaluated) << s.name;
+    EXPECT_EQ(growth.is_leak, s.leak)
+        << s.name << ": " << growth.mb << " MB, " << growth.increases << " rises";
   }
 }
 
 TEST(Growth, AShortRunSaysNothing) {
-  EXPECT_FALSE(grown(59, [](double t) { return 20 + 5 * t; }).judged);
-  EXPECT_TRUE(grown(61, [](double t) { return 20 + 5 * t; }).judged);
+  EXPECT_FALSE(grown(59, [](double t) { return 20 + 5 * t; }).evaluated);
+  EXPECT_TRUE(grown(61, [](double t) { return 20 + 5 * t; }).evaluated);
 }
 
 TEST(Growth, ALongRunIsJudgedFromAsMuchAsAShortOne) {  // what is kept of it is bounded
-  const Growth growth = grown(20'000, [](double t) { return 20 + t / 600; });
-  EXPECT_TRUE(growth.leak);
-  EXPECT_NEAR(growth.mb_a_minute, 0.1, 0.01);
+  const MemoryGrowth growth = grown(20'000, [](double t) { return 20 + t / 600; });
+  EXPECT_TRUE(growth.is_leak);
+  EXPECT_NEAR(growth.mb_per_minute, 0.1, 0.01);
 }
 
 // A process that would use the whole core gets its share, also where it is looked at late.
 TEST(Quota, HoldsAProcessToItsShareOfACore) {
   for (const Time look : {Time{1000}, Time{5000}, Time{23'000}}) {
-    Quota quota(0.25);
+    CpuQuota quota(0.25);
     Time cpu = 0;
     bool stands = false;
     const Time end = 20 * kSecond;
     for (Time now = kSecond; now < kSecond + end; now += look) {
       if (!stands) cpu += look;
-      stands = quota.stands(now, cpu);
+      stands = quota.must_pause(now, cpu);
     }
     EXPECT_NEAR(static_cast<double>(cpu) / static_cast<double>(end), 0.25, 0.02) << look;
   }
-  Quota unbound(0);
-  EXPECT_FALSE(unbound.bound());
-  EXPECT_FALSE(unbound.stands(kSecond, kSecond));
+  CpuQuota unbound(0);
+  EXPECT_FALSE(unbound.is_limited());
+  EXPECT_FALSE(unbound.must_pause(kSecond, kSecond));
 }
 
 TEST(Quota, AnIdleTimeIsNotSavedUp) {
-  Quota quota(0.5);
-  EXPECT_FALSE(quota.stands(kSecond, 0));
-  EXPECT_FALSE(quota.stands(10 * kSecond, 0));
-  EXPECT_TRUE(quota.stands(10 * kSecond + 60 * kMillisecond, 60 * kMillisecond));
+  CpuQuota quota(0.5);
+  EXPECT_FALSE(quota.must_pause(kSecond, 0));
+  EXPECT_FALSE(quota.must_pause(10 * kSecond, 0));
+  EXPECT_TRUE(quota.must_pause(10 * kSecond + 60 * kMillisecond, 60 * kMillisecond));
 }
 
 }  // namespace
--- a/tests/limits/meter_test.cpp
+++ b/tests/limits/meter_test.cpp
@@ -73,8 +73,8 @@
   const Folder folder;
   const Child child("burst", folder.path / "state");
   ASSERT_TRUE(child.done());  // all is freed again
-  Meter meter(child.pid(), folder.path / "state", folder.path / "tmp");
-  const Usage usage = meter.sample(steady_now());
+  ResourceMeter meter(child.pid(), folder.path / "state", folder.path / "tmp");
+  const ResourceUsage usage = meter.sample(steady_now());
   EXPECT_LT(usage.resident, 100 * kMb);
   EXPECT_GT(usage.memory(), 290 * kMb);
 }
@@ -84,12 +84,12 @@
   adopt_orphans();
   const Child child("helpers", folder.path / "state");
   ASSERT_TRUE(child.done());
-  Meter meter(child.pid(), folder.path / "state", folder.path / "tmp");
+  ResourceMeter meter(child.pid(), folder.path / "state", folder.path / "tmp");
   EXPECT_TRUE(becomes([&] {  // descriptors are counted less often than memory
-    const Usage now = meter.sample(steady_now());
+    const ResourceUsage now = meter.sample(steady_now());
     return now.resident > 95 * kMb && now.sockets > 19;
   }));
-  const Usage usage = meter.sample(steady_now());
+  const ResourceUsage usage = meter.sample(steady_now());
   EXPECT_EQ(usage.processes, 3);
   EXPECT_LT(usage.resident, 160 * kMb) << "what they share counts once";
   meter.signal(SIGKILL);
@@ -103,8 +103,8 @@
   for (int i = 0; i < 10; ++i) std::ofstream(folder.path / "state/deeper" / std::to_string(i)) << "x";
   std::ofstream(folder.path / "state/large") << std::string(1025, 'x');
   std::ofstream(folder.path / "tmp/spool") << std::string(100'000, 'x');
-  Meter meter(child.pid(), folder.path / "state", folder.path / "tmp");
-  const Usage usage = meter.sample(steady_now());
+  ResourceMeter meter(child.pid(), folder.path / "state", folder.path / "tmp");
+  const ResourceUsage usage = meter.sample(steady_now());
   EXPECT_EQ(usage.disk, 10u * 512 + 3 * 512);
   EXPECT_EQ(usage.files, 11u);
   EXPECT_GE(usage.temporary, 100'000u);
@@ -114,7 +114,7 @@
 TEST(Meter, AProcessThatHasEndedCostsNothingAndBreaksNothing) {
   const Folder folder;
   const Child child("nothing", folder.path / "state");
-  Meter meter(child.pid(), folder.path / "state", folder.path / "tmp");
+  ResourceMeter meter(child.pid(), folder.path / "state", folder.path / "tmp");
   EXPECT_GT(meter.sample(steady_now()).resident, 0u);
   ::kill(child.pid(), SIGKILL);
   EXPECT_TRUE(becomes([&] { return meter.sample(steady_now()).resident == 0; }));
--- a/tests/rehearsal/plan_test.cpp
+++ b/tests/rehearsal/plan_test.cpp
@@ -30,7 +30,7 @@
 
 TEST(Scenario, ShippedOnesAreReadAndPlanned) {
   std::set<std::string> names;
-  for (const Shipped& shipped : shipped_scenarios()) {
+  for (const BundledScenario& shipped : bundled_scenarios()) {
     const Scenario s = load_scenario(shipped.name, {});
     EXPECT_EQ(s.name, shipped.name);
     EXPECT_FALSE(shipped.title.empty()) << shipped.name;
@@ -76,7 +76,7 @@
 }
 
 TEST(Plan, OneSeedGivesTheSameRunEachTimeAndAnotherSeedAnother) {
-  for (const Shipped& shipped : shipped_scenarios()) {
+  for (const BundledScenario& shipped : bundled_scenarios()) {
     const Scenario s = load_scenario(shipped.name, {});
     EXPECT_EQ(make_plan(s, 5).digest, make_plan(s, 5).digest) << shipped.name;
     EXPECT_NE(make_plan(s, 5).digest, make_plan(s, 6).digest) << shipped.name;
@@ -95,7 +95,7 @@
     if (a.message_class == 1) {
       ASSERT_EQ(s.kinds[plan.partners[a.partner].kind].name, "major");
     }
-    ASSERT_LE(a.body, 65'536u);
+    ASSERT_LE(a.body_bytes, 65'536u);
   }
   EXPECT_NEAR(static_cast<double>(payments) / static_cast<double>(plan.arrivals.size()), 0.3, 0.03);
 }
@@ -124,7 +124,7 @@
 share = 0.2
 )toml";
   std::string text;
-  for (const Shipped& shipped : shipped_scenarios()) {
+  for (const BundledScenario& shipped : bundled_scenarios()) {
     if (shipped.name == "calm") text = shipped.text + events;
   }
   const Scenario s = parse_scenario(text, "s.toml", {});
--- a/tests/rehearsal/standins_test.cpp
+++ b/tests/rehearsal/standins_test.cpp
@@ -20,31 +20,33 @@
 
 using Error = boost::system::error_code;
 
-struct Seen : Witness {
+struct Seen : Observer {
   std::vector<Call> calls;
   std::vector<std::pair<CallEnd, Time>> ends;
   std::vector<std::string> clients;
   std::vector<std::pair<uint64_t, bool>> notices;
-  std::vector<std::pair<int, Phase>> tellings;
+  std::vector<std::pair<int, HostState>> tellings;
   int ran_count = 0;
 
-  void called(Time, const Call& call) override { calls.push_back(call); }
-  void ran(Time, uint64_t, bool) override { ++ran_count; }
-  void call_ended(Time, uint64_t, CallEnd end, Time wait) override { ends.emplace_back(end, wait); }
-  void handed_in(Time, const Handing&, uint64_t) override { clients.push_back("handed"); }
-  void not_reached(Time, const Handing&) override { clients.push_back("not reached"); }
-  void taken_on(Time, uint64_t) override { clients.push_back("taken"); }
-  void turned_away(Time, uint64_t, Time after) override {
+  void on_call(Time, const Call& call) override { calls.push_back(call); }
+  void on_executed(Time, uint64_t, bool) override { ++ran_count; }
+  void on_call_ended(Time, uint64_t, CallEnd end, Time wait) override { ends.emplace_back(end, wait); }
+  void on_submitted(Time, const Submission&, uint64_t) override { clients.push_back("handed"); }
+  void on_connect_failed(Time, const Submission&) override { clients.push_back("not reached"); }
+  void on_accepted(Time, uint64_t) override { clients.push_back("taken"); }
+  void on_refused(Time, uint64_t, Time after) override {
     clients.push_back("busy " + std::to_string(after / 1000));
   }
-  void answered_failed(Time, uint64_t, const std::string&) override { clients.push_back("failed"); }
-  void unanswered(Time, uint64_t, Unanswered how) override {
-    clients.push_back(how == Unanswered::kGaveUp   ? "gave up"
-                      : how == Unanswered::kClosed ? "closed"
-                                                   : "died");
+  void on_failed(Time, uint64_t, const std::string&) override { clients.push_back("failed"); }
+  void on_no_reply(Time, uint64_t, NoReplyReason how) override {
+    clients.push_back(how == NoReplyReason::kTimeout            ? "gave up"
+                      : how == NoReplyReason::kConnectionClosed ? "closed"
+                                                                : "died");
+  }
+  void on_notice(Time, int, uint64_t id, bool returned, Time) override { notices.emplace_back(id, returned); }
+  void on_relay_notified(Time, int, int endpoint, HostState phase) override {
+    tellings.emplace_back(endpoint, phase);
   }
-  void notice(Time, int, uint64_t id, bool returned, Time) override { notices.emplace_back(id, returned); }
-  void told(Time, int, int endpoint, Phase phase) override { tellings.emplace_back(endpoint, phase); }
 };
 
 struct World {
@@ -53,14 +55,14 @@
   std::optional<int> gate;
   Endpoints endpoints{io, limits(), seen, [] { return 0.5; }, [this](uint64_t) { return gate; }};
 
-  static Endpoints::Limits limits() {
-    Endpoints::Limits out;
-    out.idle = 300 * kMillisecond;
+  static Endpoints::Options limits() {
+    Endpoints::Options out;
+    out.idle_timeout = 300 * kMillisecond;
     return out;
   }
   World() {
     PartnerSettings s;
-    s.service = 5 * kMillisecond;
+    s.mean_service_time = 5 * kMillisecond;
     s.cv = 0;
     endpoints.add_partner(7, s);
     endpoints.open({1, 7, 0});
@@ -136,7 +138,7 @@
   World w;
   Caller before(w);
   ASSERT_TRUE(before.up());
-  w.endpoints.begin_trouble(7, Trouble::kSilent, steady_now() + kSecond, 0, false);
+  w.endpoints.begin_fault(7, Fault::kSilent, steady_now() + kSecond, 0, false);
   before.call();
   Caller during(w);
   w.pass(600 * kMillisecond);
@@ -145,7 +147,7 @@
   EXPECT_EQ(during.state, "");  // its connection never comes up
   EXPECT_EQ(w.seen.calls.size(), 1u);
   EXPECT_EQ(w.seen.ran_count, 0);
-  w.endpoints.end_trouble(7);
+  w.endpoints.end_fault(7);
   ASSERT_TRUE(w.until([&] { return before.state == "reset"; }));  // it is back, and knows nothing of it
   Caller after(w);
   ASSERT_TRUE(after.up());
@@ -158,12 +160,12 @@
   const uint16_t port = w.endpoints.port(1, 0);
   Caller before(w);
   ASSERT_TRUE(before.up());
-  w.endpoints.begin_trouble(7, Trouble::kRefuse, steady_now() + kSecond, 0, false);
+  w.endpoints.begin_fault(7, Fault::kConnectionRefused, steady_now() + kSecond, 0, false);
   Caller during(w);
   ASSERT_TRUE(w.until([&] { return during.state != "" && before.state != "up"; }));
   EXPECT_EQ(during.state, "refused");
   EXPECT_EQ(before.state, "reset");
-  w.endpoints.end_trouble(7);
+  w.endpoints.end_fault(7);
   EXPECT_EQ(w.endpoints.port(1, 0), port);
   Caller after(w);
   EXPECT_TRUE(after.up());
@@ -171,7 +173,7 @@
 
 TEST(Standins, AHungMachineTakesCallsAndAnswersNone) {
   World w;
-  w.endpoints.begin_trouble(7, Trouble::kHang, steady_now() + kSecond, 0, false);
+  w.endpoints.begin_fault(7, Fault::kHang, steady_now() + kSecond, 0, false);
   Caller c(w);
   ASSERT_TRUE(c.up());
   c.call();
@@ -180,7 +182,7 @@
   EXPECT_EQ(c.text, "");
   c.socket.close();
   ASSERT_TRUE(w.until([&] { return !w.seen.ends.empty(); }));
-  EXPECT_EQ(w.seen.ends.at(0).first, CallEnd::kLeft);
+  EXPECT_EQ(w.seen.ends.at(0).first, CallEnd::kAbandoned);
 }
 
 TEST(Standins, ANewcomerMayComeUpAtTheAddressOfOneThatHasGone) {
@@ -253,7 +255,7 @@
 struct AgentWorld {
   boost::asio::io_context io;
   Seen seen;
-  Agent agent{io, 0, seen};
+  DiscoveryAgent agent{io, 0, seen};
   tcp::socket socket{io};
   std::string text;
   bool ended = false;
@@ -289,7 +291,7 @@
     }
     return true;
   }
-  static ListEntry entry(int number, Phase phase = Phase::kActive) {
+  static ListEntry entry(int number, HostState phase = HostState::kActive) {
     ListEntry out;
     out.endpoint = number;
     out.id = "s-" + std::to_string(number);
@@ -303,19 +305,19 @@
 
 TEST(Standins, AWatchGetsTheWholeListAndThenEachChange) {
   AgentWorld w;
-  w.agent.learn({AgentWorld::entry(1), AgentWorld::entry(2)});
+  w.agent.apply_update({AgentWorld::entry(1), AgentWorld::entry(2)});
   w.connect(kWatch);
   ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 2; }));
-  w.agent.learn({AgentWorld::entry(1, Phase::kLeaving)});
+  w.agent.apply_update({AgentWorld::entry(1, HostState::kDraining)});
   ASSERT_TRUE(w.until([&] { return w.text.find("leaving") != std::string::npos; }));
   ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 3; }));
-  EXPECT_EQ(w.seen.tellings.back(), (std::pair<int, Phase>{1, Phase::kLeaving}));
+  EXPECT_EQ(w.seen.tellings.back(), (std::pair<int, HostState>{1, HostState::kDraining}));
 }
 
 TEST(Standins, AMutedAgentTakesNoticesAndTellsTheRestLater) {
   AgentWorld w;
-  w.agent.learn({AgentWorld::entry(1)});
-  w.agent.mute(true);
+  w.agent.apply_update({AgentWorld::entry(1)});
+  w.agent.set_silent(true);
   w.connect(kWatch);
   const std::string body = "{\"id\":\"00000000000000a1\",\"state\":\"returned\",\"after_ms\":5}\n";
   tcp::socket poster(w.io);
@@ -327,17 +329,17 @@
   ASSERT_TRUE(w.until([&] { return w.seen.notices.size() == 1; }));
   EXPECT_EQ(w.seen.notices[0], (std::pair<uint64_t, bool>{0xa1, true}));
   EXPECT_EQ(w.text, "");
-  w.agent.mute(false);
+  w.agent.set_silent(false);
   ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 1; }));
 }
 
 TEST(Standins, AnAgentThatMovesEndsItsOldConnectionsAfterTheGrace) {
   AgentWorld w;
-  w.agent.learn({AgentWorld::entry(1)});
+  w.agent.apply_update({AgentWorld::entry(1)});
   w.connect(kWatch);
   ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 1; }));
   const std::string before = w.agent.address();
-  w.agent.move(50 * kMillisecond);
+  w.agent.move_to_new_port(50 * kMillisecond);
   EXPECT_NE(w.agent.address(), before);
   EXPECT_TRUE(w.until([&] { return w.ended; }));
 }
@@ -353,9 +355,9 @@
   std::ofstream(program) << "#!/bin/sh\nls /proc/self/fd | wc -l\nulimit -n\n";
   std::filesystem::permissions(program, std::filesystem::perms::owner_all);
   {
-    Process process(program, folder / "n0", 77);
+    RelayProcess process(program, folder / "n0", 77);
     process.start();
-    ASSERT_TRUE(w.until([&] { return process.ended(); }));
+    ASSERT_TRUE(w.until([&] { return process.has_exited(); }));
   }
   std::ifstream log(folder / "n0/log");
   int descriptors = 0, limit = 0;
@@ -401,10 +403,10 @@
 std::vector<std::string> heard_by_client(std::vector<std::string> answers, size_t events, bool down = false) {
   World w;
   Relay relay(w.io, std::move(answers));
-  Front front(w.io, {relay.acceptor.local_endpoint()}, {}, w.seen, [down](int) { return down; });
-  Handing h;
+  LoadGenerator front(w.io, {relay.acceptor.local_endpoint()}, {}, w.seen, [down](int) { return down; });
+  Submission h;
   h.id = 9;
-  front.hand_in(h, "c=a,d=1000,dest=7", "body");
+  front.submit(h, "c=a,d=1000,dest=7", "body");
   EXPECT_TRUE(w.until([&] { return w.seen.clients.size() >= events; }));
   return w.seen.clients;
 }
