--- a/bench/earlier_journal.cpp
+++ b/bench/earlier_journal.cpp
@@ -92,7 +92,7 @@
 Journal::Journal(const std::filesystem::path& folder, size_t disk_bytes)
     : path_(folder / "journal"),
       fresh_path_(folder / "journal.new"),
-      most_file_(static_cast<size_t>(kFilePart * static_cast<double>(disk_bytes))) {
+      max_file_bytes_(static_cast<size_t>(kFilePart * static_cast<double>(disk_bytes))) {
   std::error_code ignored;
   std::filesystem::remove(fresh_path_, ignored);
   file_ = ::open(path_.c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
@@ -121,7 +121,7 @@
   if (at < bytes.size() && ::ftruncate(file_, static_cast<off_t>(at)) != 0) {
     throw std::runtime_error("cannot cut the torn tail of " + path_.string() + ": " + std::strerror(errno));
   }
-  std::vector<Recovered> left;
+  std::vector<RecoveredMessage> left;
   for (size_t i = 0; i < recovered_.size(); ++i) {
     const auto place = places.find(recovered_[i].message.id);
     if (place != places.end() && place->second == i) left.push_back(std::move(recovered_[i]));
@@ -133,9 +133,9 @@
   Reader in(record);
   const char kind = in.kind();
   const std::string id = in.text();
-  if (kind == kFact) return keep_fact(id, in.text());
+  if (kind == kFact) return store_metadata(id, in.text());
   if (kind == kAccepted) {
-    Recovered entry;
+    RecoveredMessage entry;
     entry.message.id = id;
     entry.message.message_class = in.text();
     entry.message.key = in.text();
@@ -144,22 +144,22 @@
     entry.message.body = in.text();
     places[id] = recovered_.size();
     recovered_.push_back(std::move(entry));
-    places_[id] = ++order_;
+    places_[id] = ++last_sequence_;
   }
   const auto place = places.find(id);
   if (place == places.end()) return;
-  Recovered& entry = recovered_[place->second];
+  RecoveredMessage& entry = recovered_[place->second];
   std::string& kept = live_[places_[id]];
   if (kind == kAttempt) {
     const int number = static_cast<int>(in.number());
     const Time sent = in.number();
     entry.attempts = number + 1;
-    entry.unsettled[number] = {sent, static_cast<int>(in.number())};
+    entry.maybe_executed[number] = {sent, static_cast<int>(in.number())};
   } else if (kind == kNeverRan) {
-    entry.unsettled.erase(static_cast<int>(in.number()));
+    entry.maybe_executed.erase(static_cast<int>(in.number()));
   } else if (kind == kOwed) {
     const bool returned = in.number() != 0;
-    entry.owed = Notice{id, returned, in.number()};
+    entry.pending_notice = Notice{id, returned, in.number()};
   } else if (kind == kDone) {
     live_bytes_ -= kept.size() + kReserve;
     live_.erase(places_[id]);
@@ -172,41 +172,42 @@
   live_bytes_ += kHeader + record.size();
 }
 
-void Journal::keep_fact(const std::string& name, const std::string& value) {
-  const auto old = remembered_.find(name);
-  if (old != remembered_.end()) {
+void Journal::store_metadata(const std::string& name, const std::string& value) {
+  const auto old = metadata_.find(name);
+  if (old != metadata_.end()) {
     live_bytes_ -= framed(Writer(kFact, name).text(old->second).payload()).size();
-    remembered_.erase(old);
+    metadata_.erase(old);
   }
   if (value.empty()) return;
   live_bytes_ += framed(Writer(kFact, name).text(value).payload()).size();
-  remembered_[name] = value;
+  metadata_[name] = value;
 }
 
-void Journal::remember(const std::string& name, const std::string& value) {
-  const auto old = remembered_.find(name);
-  if (value == (old == remembered_.end() ? "" : old->second)) return;
-  keep_fact(name, value);
+void Journal::put_metadata(const std::string& name, const std::string& value) {
+  const auto old = metadata_.find(name);
+  if (value == (old == metadata_.end() ? "" : old->second)) return;
+  store_metadata(name, value);
   write(framed(Writer(kFact, name).text(value).payload()));
 }
 
-bool Journal::accepted(const Submission& m, Time due) {
+bool Journal::record_accepted(const Submission& m, Time due) {
   Writer out(kAccepted, m.id);
   out.text(m.message_class).text(m.key).number(m.destination).number(due).text(m.body);
   const size_t bytes = kHeader + out.payload().size() + kReserve;
-  if (static_cast<double>(live_bytes_ + bytes) > kAcceptPart * static_cast<double>(most_file_)) return false;
-  places_[m.id] = ++order_;
+  if (static_cast<double>(live_bytes_ + bytes) > kAcceptPart * static_cast<double>(max_file_bytes_))
+    return false;
+  places_[m.id] = ++last_sequence_;
   if (append(m.id, out.payload())) {
     live_bytes_ += kReserve;
     return true;
   }
-  live_bytes_ -= live_[order_].size();
-  live_.erase(order_);
+  live_bytes_ -= live_[last_sequence_].size();
+  live_.erase(last_sequence_);
   places_.erase(m.id);
   return false;
 }
 
-bool Journal::attempt(const std::string& id, int number, Time sent, int zone) {
+bool Journal::record_attempt(const std::string& id, int number, Time sent, int zone) {
   const auto place = places_.find(id);
   if (place == places_.end()) return false;
   const std::string payload = Writer(kAttempt, id).number(number).number(sent).number(zone).payload();
@@ -218,15 +219,15 @@
   return false;
 }
 
-void Journal::never_ran(const std::string& id, int number) {
+void Journal::record_not_executed(const std::string& id, int number) {
   append(id, Writer(kNeverRan, id).number(number).payload());
 }
 
-void Journal::owed(const Notice& notice) {
+void Journal::record_notice(const Notice& notice) {
   append(notice.id, Writer(kOwed, notice.id).number(notice.returned).number(notice.retry_after).payload());
 }
 
-void Journal::done(const std::string& id) {
+void Journal::record_done(const std::string& id) {
   const auto place = places_.find(id);
   if (place == places_.end()) return;
   live_bytes_ -= live_[place->second].size() + kReserve;
@@ -246,8 +247,8 @@
 
 // The live records already hold what is written here, so a compaction writes it too.
 bool Journal::write(std::string_view bytes) {
-  if (size_ + bytes.size() > most_file_ && compact()) return true;
-  if (size_ + bytes.size() > most_file_) return false;
+  if (size_ + bytes.size() > max_file_bytes_ && compact()) return true;
+  if (size_ + bytes.size() > max_file_bytes_) return false;
   if (write_all(file_, bytes)) {
     size_ += bytes.size();
     return true;
@@ -259,9 +260,9 @@
 
 bool Journal::compact() {
   std::string bytes;
-  for (const auto& [name, value] : remembered_) bytes += framed(Writer(kFact, name).text(value).payload());
+  for (const auto& [name, value] : metadata_) bytes += framed(Writer(kFact, name).text(value).payload());
   for (const auto& [place, records] : live_) bytes += records;
-  if (bytes.size() > most_file_) return false;
+  if (bytes.size() > max_file_bytes_) return false;
   const int fresh = ::open(fresh_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
   if (fresh < 0) return false;
   if (!write_all(fresh, bytes) || ::rename(fresh_path_.c_str(), path_.c_str()) != 0) {
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -43,7 +43,7 @@
   Folder() {
     std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-bench-XXXXXX";
     path = ::mkdtemp(pattern.data());
-    files = real_files(path);
+    files = make_posix_files(path);
   }
   ~Folder() { std::filesystem::remove_all(path); }
   std::filesystem::path path;
@@ -53,7 +53,7 @@
 // The journal of segments, and the one before it, under the same hands.
 struct Segments {
   Segments(Folder& folder, size_t disk) : journal(*folder.files, {disk, "n0", 6, 1}) {}
-  void tidy() { journal.tidy(32 * 1024); }
+  void tidy() { journal.compact(32 * 1024); }
   size_t written() const { return journal.written_bytes(); }
   size_t copied() const { return journal.copied_bytes(); }
   static constexpr const char* kName = "segments";
@@ -76,8 +76,8 @@
   const double cpu = seconds(CLOCK_PROCESS_CPUTIME_ID), wall = seconds(CLOCK_MONOTONIC);
   for (int i = 0; i < count; ++i) {
     const Submission m = message(static_cast<uint64_t>(i), body);
-    if (!journal.accepted(m, i) || !journal.attempt(m.id, 0, i, 0)) std::abort();
-    journal.done(m.id);
+    if (!journal.record_accepted(m, i) || !journal.record_attempt(m.id, 0, i, 0)) std::abort();
+    journal.record_done(m.id);
     kept.tidy();
   }
   std::printf(
@@ -98,7 +98,7 @@
   auto* const journal = &kept.journal;
   std::vector<uint64_t> alive;
   uint64_t next = 0;
-  while (alive.size() < live && journal->accepted(message(next, body), 1)) alive.push_back(next++);
+  while (alive.size() < live && journal->record_accepted(message(next, body), 1)) alive.push_back(next++);
   const double each = static_cast<double>(heap() - before) / static_cast<double>(alive.size()) - 8;
   const size_t written = kept.written();
   double longest = 0, longest_cpu = 0;
@@ -107,8 +107,8 @@
     const size_t victim = oldest_first ? at++ % alive.size() : random() % alive.size();
     const double begin = seconds(CLOCK_MONOTONIC), cpu = seconds(CLOCK_THREAD_CPUTIME_ID);
     const size_t copied = kept.copied();
-    journal->done(message(alive[victim], 0).id);
-    if (!journal->accepted(message(next, body), 1)) break;
+    journal->record_done(message(alive[victim], 0).id);
+    if (!journal->record_accepted(message(next, body), 1)) break;
     kept.tidy();
     const double took = seconds(CLOCK_MONOTONIC) - begin;
     longest = std::max(longest, took);
@@ -135,18 +135,18 @@
     Journal journal(*folder.files, {2'000'000'000, "n0", 6, 1});
     for (size_t i = 0; i < records / 4; ++i) {
       const Submission m = message(i, 200);
-      journal.accepted(m, 1);
-      journal.attempt(m.id, 0, 1, 0);
-      journal.never_ran(m.id, 0);
-      if (i % 10 != 0) journal.done(m.id);
+      journal.record_accepted(m, 1);
+      journal.record_attempt(m.id, 0, 1, 0);
+      journal.record_not_executed(m.id, 0);
+      if (i % 10 != 0) journal.record_done(m.id);
     }
   }
   const double wall = seconds(CLOCK_MONOTONIC);
   Journal journal(*folder.files, {2'000'000'000, "n0", 6, 2});
   size_t count = 0;
-  journal.recover([&](Recovered) { ++count; });
-  std::printf("a start with %zu records, %zu of them alive messages: %.2f s\n", journal.findings().records,
-              count, seconds(CLOCK_MONOTONIC) - wall);
+  journal.recover([&](RecoveredMessage) { ++count; });
+  std::printf("a start with %zu records, %zu of them alive messages: %.2f s\n",
+              journal.recovery_report().records, count, seconds(CLOCK_MONOTONIC) - wall);
 }
 
 }  // namespace
--- a/ctl/fleet.cpp
+++ b/ctl/fleet.cpp
@@ -9,7 +9,8 @@
 
 namespace umberhoist::ctl {
 
-Answer ask(const std::string& address, register_pb::Ask question, std::chrono::milliseconds wait) {
+FleetReply send_request(const std::string& address, register_pb::Ask question,
+                        std::chrono::milliseconds wait) {
   using tcp = boost::asio::ip::tcp;
   const size_t colon = address.rfind(':');
   boost::system::error_code error;
@@ -25,41 +26,41 @@
 
   boost::asio::io_context io;
   tcp::socket socket(io);
-  Answer answer{false, false, "no answer from " + address + " in time"};
+  FleetReply reply{false, false, "no answer from " + address + " in time"};
   std::string in;
   std::array<char, 65'536> bytes;
   std::function<void()> read = [&] {
     socket.async_read_some(boost::asio::buffer(bytes),
                            [&](const boost::system::error_code& failed, size_t got) {
                              if (failed) {
-                               answer.text = address + ": " + failed.message();
+                               reply.text = address + ": " + failed.message();
                                return;
                              }
                              in.append(bytes.data(), got);
                              bool bad = false;
                              const auto told = fleet::unpack(in, bad);
                              if (bad) {
-                               answer.text = address + " answers what is no frame";
+                               reply.text = address + " answers what is no frame";
                              } else if (!told) {
                                read();
                              } else {
-                               answer = {true, told->told().done(), told->told().text()};
+                               reply = {true, told->told().done(), told->told().text()};
                              }
                            });
   };
   socket.async_connect({host, static_cast<uint16_t>(port)}, [&](const boost::system::error_code& failed) {
     if (failed) {
-      answer.text = address + ": " + failed.message();
+      reply.text = address + ": " + failed.message();
       return;
     }
     boost::asio::async_write(socket, boost::asio::buffer(out),
                              [&](const boost::system::error_code& lost, size_t) {
-                               if (lost) answer.text = address + ": " + lost.message();
+                               if (lost) reply.text = address + ": " + lost.message();
                              });
     read();
   });
   io.run_for(wait);
-  return answer;
+  return reply;
 }
 
 }  // namespace umberhoist::ctl
--- a/ctl/fleet.h
+++ b/ctl/fleet.h
@@ -8,14 +8,14 @@
 
 namespace umberhoist::ctl {
 
-struct Answer {
-  bool heard = false;  // false: nobody answered; `text` says why
-  bool done = false;
+struct FleetReply {
+  bool received = false;  // false: nobody answered; `text` says why
+  bool succeeded = false;
   std::string text;
 };
 
 // `address`: IPv4 and port. Waits for a connection and an answer no longer than `wait` in all.
-Answer ask(const std::string& address, register_pb::Ask question,
-           std::chrono::milliseconds wait = std::chrono::milliseconds(20'000));
+FleetReply send_request(const std::string& address, register_pb::Ask question,
+                        std::chrono::milliseconds wait = std::chrono::milliseconds(20'000));
 
 }  // namespace umberhoist::ctl
--- a/ctl/fleet_verbs.cpp
+++ b/ctl/fleet_verbs.cpp
@@ -26,7 +26,7 @@
 }
 
 template <class Defects>
-int tell(const std::string& file, const Defects& defects, std::ostream& err) {
+int print_errors(const std::string& file, const Defects& defects, std::ostream& err) {
   for (const auto& defect : defects) {
     err << file;
     if (defect.line > 0) err << ":" << defect.line;
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-struct FleetVerbs::Words {
+struct FleetCommands::Arguments {
   CLI::App *map_check, *map_plan, *map_propose, *freeze_check, *freeze_declare, *freeze_list, *freeze_except,
       *status, *restore;
   std::string file, present, to, at, change, by, survivor, map_file, calendar_file, configuration_file;
@@ -46,13 +46,13 @@
   uint32_t minutes = 0;
 
   int send(Ask question, std::ostream& out, std::ostream& err) const {
-    const Answer answer = ask(to, std::move(question));
-    if (!answer.heard) {
-      err << answer.text << "\n";
+    const FleetReply reply = send_request(to, std::move(question));
+    if (!reply.received) {
+      err << reply.text << "\n";
       return 2;
     }
-    (answer.done ? out : err) << answer.text << (answer.text.ends_with('\n') ? "" : "\n");
-    return answer.done ? 0 : 1;
+    (reply.succeeded ? out : err) << reply.text << (reply.text.ends_with('\n') ? "" : "\n");
+    return reply.succeeded ? 0 : 1;
   }
 
   // A map that is right as far as the file goes; nothing: it was said why not.
@@ -61,7 +61,7 @@
     if (!text) return std::nullopt;
     const auto parsed = shards::parse_map(*text);
     if (const auto* defects = std::get_if<std::vector<shards::Defect>>(&parsed)) {
-      tell(path, *defects, err);
+      print_errors(path, *defects, err);
       return std::nullopt;
     }
     return std::get<shards::Map>(parsed);
@@ -81,7 +81,7 @@
     for (const std::string& name : members) known.push_back({name, 1, "", true, false, true});
     if (!known.empty()) against.members = &known;
     const auto defects = shards::validate(*proposed, against);
-    if (!defects.empty()) return tell(file, defects, err);
+    if (!defects.empty()) return print_errors(file, defects, err);
     out << "right: epoch " << proposed->epoch << ", " << proposed->ranges.size() << " ranges\n";
     return 0;
   }
@@ -91,7 +91,7 @@
     if (!text) return std::nullopt;
     const auto parsed = freeze::parse_calendar(*text);
     if (const auto* defects = std::get_if<std::vector<freeze::Defect>>(&parsed)) {
-      tell(path, *defects, err);
+      print_errors(path, *defects, err);
       return std::nullopt;
     }
     return std::get<freeze::Calendar>(parsed);
@@ -154,7 +154,8 @@
     if (verb == Ask::kProposeMap) {
       const auto what = map(file, err);
       if (!what) return 2;
-      if (const auto defects = shards::validate(*what, {}); !defects.empty()) return tell(file, defects, err);
+      if (const auto defects = shards::validate(*what, {}); !defects.empty())
+        return print_errors(file, defects, err);
       question.set_text(shards::to_toml(*what));
     } else {
       if (!calendar(file, err)) return 2;
@@ -164,8 +165,8 @@
   }
 };
 
-FleetVerbs::FleetVerbs(CLI::App& app) : words_(std::make_unique<Words>()) {
-  Words& w = *words_;
+FleetCommands::FleetCommands(CLI::App& app) : arguments_(std::make_unique<Arguments>()) {
+  Arguments& w = *arguments_;
   const auto asks = [&](CLI::App* verb) {
     verb->add_option("--to", w.to, "a relay's fleet address, as 127.0.0.1:7101")->required();
     return verb;
@@ -211,10 +212,10 @@
   w.restore->add_option("--survivor", w.survivor, "its name, said once more")->required();
 }
 
-FleetVerbs::~FleetVerbs() = default;
+FleetCommands::~FleetCommands() = default;
 
-std::optional<int> FleetVerbs::run(std::ostream& out, std::ostream& err) {
-  const Words& w = *words_;
+std::optional<int> FleetCommands::run(std::ostream& out, std::ostream& err) {
+  const Arguments& w = *arguments_;
   const auto plain = [&](Ask::Verb verb, const std::string& text = "") {
     Ask question;
     question.set_verb(verb);
--- a/ctl/fleet_verbs.h
+++ b/ctl/fleet_verbs.h
@@ -11,17 +11,17 @@
 
 namespace umberhoist::ctl {
 
-class FleetVerbs {
+class FleetCommands {
  public:
-  explicit FleetVerbs(CLI::App& app);
-  ~FleetVerbs();
+  explicit FleetCommands(CLI::App& app);
+  ~FleetCommands();
   // Exit status of the verb that was given; nothing: none of these. 0: done, or open; 1: refused, or closed;
   // 2: bad input, or defects.
   std::optional<int> run(std::ostream& out, std::ostream& err);
 
  private:
-  struct Words;
-  std::unique_ptr<Words> words_;
+  struct Arguments;
+  std::unique_ptr<Arguments> arguments_;
 };
 
 }  // namespace umberhoist::ctl
--- a/ctl/main.cpp
+++ b/ctl/main.cpp
@@ -21,7 +21,7 @@
       journal->add_subcommand("check", "is it whole? Exit status 0: yes, 1: no, 2: it cannot be read");
   check->add_option("folder", folder, "the state folder")->required();
   check->add_flag("--json", as_json, "one JSON object in place of lines");
-  Dump what;
+  DumpOptions what;
   auto* dump =
       journal->add_subcommand("dump", "its records, one JSON object a line, in the order of reading");
   dump->add_option("folder", what.folder, "the state folder")->required();
@@ -30,7 +30,7 @@
   dump->add_option("--segment", what.segment, "only this segment's records, by number");
   dump->add_option("--id", what.id, "only this message's");
 #ifdef UMBERHOIST_FLEET
-  FleetVerbs fleet(app);
+  FleetCommands fleet(app);
 #endif
   app.footer(
       "Examples:\n  umberhoistctl journal check /run/state\n  umberhoistctl journal dump --live /run/state");
--- a/fleet/config.cpp
+++ b/fleet/config.cpp
@@ -75,7 +75,7 @@
   }
   std::string name(const toml::table& table) const {
     const std::string out = word(table, "name");
-    if (!state::plain(out))
+    if (!state::is_printable_ascii(out))
       fault(line(*table.get("name")), "name is wrong; expected plain letters, no blanks");
     return out;
   }
--- a/fleet/service.cpp
+++ b/fleet/service.cpp
@@ -43,7 +43,7 @@
   Service(boost::asio::io_context& daemon, const Config& config, uint64_t seed)
       : daemon_(daemon),
         folder_(config.folder),
-        files_(state::real_files(config.folder)),
+        files_(state::make_posix_files(config.folder)),
         links_(std::make_unique<Links>(
             io_, config, [this](const Frame& frame, const Links::Reply& reply) { take(frame, reply); })),
         node_(std::make_unique<reg::Node>(
--- a/register/storage.cpp
+++ b/register/storage.cpp
@@ -9,8 +9,8 @@
 namespace umberhoist::reg {
 namespace {
 
-using state::Reader;
-using state::Writer;
+using state::ByteReader;
+using state::ByteWriter;
 
 constexpr uint32_t kVersion = 1;
 constexpr size_t kMostVoteBytes = 4096;
@@ -32,19 +32,19 @@
 }  // namespace
 
 std::string storage_frame(std::string_view payload) {
-  Writer out;
-  out.number(static_cast<uint32_t>(payload.size()));
-  out.number(XXH64(payload.data(), payload.size(), payload.size()));
-  return out.rest(payload).take();
+  ByteWriter out;
+  out.write_number(static_cast<uint32_t>(payload.size()));
+  out.write_number(XXH64(payload.data(), payload.size(), payload.size()));
+  return out.write_bytes(payload).take();
 }
 
 std::optional<std::string> read_frame(std::string_view bytes, size_t& at, size_t most) {
   if (at > bytes.size()) return std::nullopt;
-  Reader in(bytes.substr(at));
-  const auto size = in.number<uint32_t>();
-  const auto sum = in.number<uint64_t>();
+  ByteReader in(bytes.substr(at));
+  const auto size = in.read_number<uint32_t>();
+  const auto sum = in.read_number<uint64_t>();
   constexpr size_t kHead = sizeof size + sizeof sum;
-  if (!in.good() || size > most || bytes.size() - at - kHead < size) return std::nullopt;
+  if (!in.ok() || size > most || bytes.size() - at - kHead < size) return std::nullopt;
   const std::string_view payload = bytes.substr(at + kHead, size);
   if (XXH64(payload.data(), payload.size(), payload.size()) != sum) return std::nullopt;
   at += kHead + size;
@@ -52,39 +52,44 @@
 }
 
 std::string encode_entry(const StoredEntry& entry) {
-  return Writer().number(entry.index).number(entry.term).number(entry.type).rest(entry.data).take();
+  return ByteWriter()
+      .write_number(entry.index)
+      .write_number(entry.term)
+      .write_number(entry.type)
+      .write_bytes(entry.data)
+      .take();
 }
 
 std::optional<StoredEntry> decode_entry(std::string_view payload) {
-  Reader in(payload);
+  ByteReader in(payload);
   StoredEntry out;
-  out.index = in.number<uint64_t>();
-  out.term = in.number<uint64_t>();
-  out.type = in.number<uint16_t>();
-  out.data = in.rest();
-  if (!in.good() || out.index == 0 || out.type == 0) return std::nullopt;
+  out.index = in.read_number<uint64_t>();
+  out.term = in.read_number<uint64_t>();
+  out.type = in.read_number<uint16_t>();
+  out.data = in.read_rest();
+  if (!in.ok() || out.index == 0 || out.type == 0) return std::nullopt;
   return out;
 }
 
 std::string encode_snapshot(const StoredSnapshot& s) {
-  return Writer()
-      .number(s.index)
-      .number(s.term)
-      .number(s.configuration_index)
-      .text(s.configuration)
-      .rest(s.data)
+  return ByteWriter()
+      .write_number(s.index)
+      .write_number(s.term)
+      .write_number(s.configuration_index)
+      .write_string(s.configuration)
+      .write_bytes(s.data)
       .take();
 }
 
 std::optional<StoredSnapshot> decode_snapshot(std::string_view payload) {
-  Reader in(payload);
+  ByteReader in(payload);
   StoredSnapshot out;
-  out.index = in.number<uint64_t>();
-  out.term = in.number<uint64_t>();
-  out.configuration_index = in.number<uint64_t>();
-  out.configuration = in.text();
-  out.data = in.rest();
-  if (!in.good() || out.index == 0) return std::nullopt;
+  out.index = in.read_number<uint64_t>();
+  out.term = in.read_number<uint64_t>();
+  out.configuration_index = in.read_number<uint64_t>();
+  out.configuration = in.read_string();
+  out.data = in.read_rest();
+  if (!in.ok() || out.index == 0) return std::nullopt;
   return out;
 }
 
@@ -116,7 +121,7 @@
 std::optional<std::string> Storage::read_whole(const std::string& name, size_t most) {
   const int file = files_.open(name);
   if (file < 0) return std::nullopt;
-  files_.forget(file);
+  files_.drop_page_cache(file);
   const ssize_t size = files_.size(file);
   std::string out;
   if (size >= 0) {
@@ -139,15 +144,15 @@
   size_t at = 0;
   const auto payload = read_frame(*bytes, at, kMostVoteBytes);
   if (!payload) return std::nullopt;
-  Reader in(*payload);
-  if (in.number<uint32_t>() != kVersion) return std::nullopt;
+  ByteReader in(*payload);
+  if (in.read_number<uint32_t>() != kVersion) return std::nullopt;
   Vote out;
   for (uint64_t* field : {&out.promises, &out.generation, &out.identity, &out.term, &out.voted_for, &out.log,
                           &out.log_bytes, &out.snapshot}) {
-    *field = in.number<uint64_t>();
+    *field = in.read_number<uint64_t>();
   }
-  const std::string owner = in.text();
-  if (!in.all()) return std::nullopt;
+  const std::string owner = in.read_string();
+  if (!in.at_end()) return std::nullopt;
   others = others || owner != name_;
   return out;
 }
@@ -260,13 +265,13 @@
 }
 
 bool Storage::write_copy(const std::string& name) {
-  Writer out;
-  out.number(kVersion);
+  ByteWriter out;
+  out.write_number(kVersion);
   for (const uint64_t field : {vote_.promises, vote_.generation, vote_.identity, vote_.term, vote_.voted_for,
                                vote_.log, vote_.log_bytes, vote_.snapshot}) {
-    out.number(field);
+    out.write_number(field);
   }
-  out.text(name_);
+  out.write_string(name_);
   // Under its own name, not by a new one: what is lost of it is lost of one copy only.
   return write_whole(name, storage_frame(out.take())) && files_.sync_folder();
 }
@@ -365,10 +370,10 @@
   if (!bytes) return;
   size_t at = 0;
   while (const auto payload = read_frame(*bytes, at, 64)) {
-    Reader in(*payload);
-    const auto identity = in.number<uint64_t>();
-    const auto promises = in.number<uint64_t>();
-    if (!in.all()) break;
+    ByteReader in(*payload);
+    const auto identity = in.read_number<uint64_t>();
+    const auto promises = in.read_number<uint64_t>();
+    if (!in.at_end()) break;
     uint64_t& known = peers_[identity];
     known = std::max(known, promises);
   }
@@ -383,7 +388,8 @@
     const std::string fresh = "peers-new";
     peers_file_ = files_.create(fresh);
     std::string all;
-    for (const auto& [who, what] : peers_) all += storage_frame(Writer().number(who).number(what).take());
+    for (const auto& [who, what] : peers_)
+      all += storage_frame(ByteWriter().write_number(who).write_number(what).take());
     peers_bytes_ = all.size();
     if (peers_file_ < 0 || !write(peers_file_, all) || !files_.sync(peers_file_) ||
         !files_.rename(fresh, kPeers) || !files_.sync_folder()) {
@@ -391,7 +397,7 @@
     }
     return true;
   }
-  const std::string frame = storage_frame(Writer().number(identity).number(promises).take());
+  const std::string frame = storage_frame(ByteWriter().write_number(identity).write_number(promises).take());
   peers_bytes_ += frame.size();
   if (!write(peers_file_, frame) || !files_.sync(peers_file_)) return fail("what others promised");
   return true;
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -66,7 +66,7 @@
   if (durability != "process" && durability != "group") {
     throw std::invalid_argument("durability is '" + durability + "'; expected process or group");
   }
-  if (durability == "group") out.durability = umberhoist::state::Durability::kGroup;
+  if (durability == "group") out.durability = umberhoist::state::Durability::kGroupCommit;
   const json& settings = root.at("settings");
   out.settings = parse_settings(flatten(settings));
   out.list_names.zones = settings.at("azs").get<std::vector<std::string>>();
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -65,7 +65,7 @@
              std::unique_ptr<umberhoist::state::Files> files, std::unique_ptr<umberhoist::fleet::Fleet> fleet)
     : io_(io),
       config_(config),
-      files_(files ? std::move(files) : umberhoist::state::real_files(config.state_folder)),
+      files_(files ? std::move(files) : umberhoist::state::make_posix_files(config.state_folder)),
       journal_(*files_,
                {config.max_disk_bytes, config.name, config.settings.max_attempts, 0, config.durability}),
       policy_(config.settings, config.seed),
@@ -76,7 +76,7 @@
       stop_timer_(io),
       record_timer_(io),
       sync_timer_(io),
-      notices_(io, config.discovery, [this](const std::string& id) { journal_.done(id); }),
+      notices_(io, config.discovery, [this](const std::string& id) { journal_.record_done(id); }),
       upstream_(
           io, upstream_limits(config), config.report_fields,
           [this](const Call& call) { return may_start(call); },
@@ -96,7 +96,7 @@
           !config.known_hosts.hosts.empty()),
       listening_(std::move(listening)),
       open_timer_(io) {
-  if (config.durability == umberhoist::state::Durability::kGroup) syncer_.emplace(1);
+  if (config.durability == umberhoist::state::Durability::kGroupCommit) syncer_.emplace(1);
   if (fleet) {
     FleetAdapter::Hooks hooks;
     hooks.happened = [this](Event event) { happened(std::move(event)); };
@@ -122,7 +122,7 @@
 // What the process before knew of hosts and destinations. The configuration's list may be older: hosts that
 // were told to drain would be sent to again.
 void Relay::recall() {
-  const auto facts = journal_.remembered();
+  const auto facts = journal_.metadata();
   HostList list;
   list.complete = true;
   std::vector<DestinationState> memories;
@@ -158,7 +158,7 @@
                                {"back_since", wall(memory.recovery_start)},
                                {"base", memory.baseline_rate},
                                {"pace", memory.pacing_rate}};
-  journal_.remember(kDestination + std::to_string(memory.destination), fact.dump());
+  journal_.put_metadata(kDestination + std::to_string(memory.destination), fact.dump());
 }
 
 int Relay::class_of(const std::string& name) const {
@@ -183,7 +183,7 @@
                      put(std::move(handed), std::move(answer));
                    });
   listening_(clients_->address());
-  for (const std::string& line : journal_.findings().lines)
+  for (const std::string& line : journal_.recovery_report().log_lines)
     std::fprintf(stderr, "journal: %s\n", line.c_str());
 }
 
@@ -191,9 +191,9 @@
 void Relay::resume() {
   const Time now = steady_now();
   const Time wall = wall_now();
-  journal_.recover([&](umberhoist::state::Recovered entry) {
-    if (entry.owed) {
-      notices_.add(*entry.owed);
+  journal_.recover([&](umberhoist::state::RecoveredMessage entry) {
+    if (entry.pending_notice) {
+      notices_.add(*entry.pending_notice);
       return;
     }
     const uint64_t number = ++last_number_;
@@ -206,7 +206,7 @@
     in.id = number;
     in.message_class = class_of(held.handed.message_class);
     if (in.message_class < 0) {  // no class of these settings: nothing is known of what it allows
-      finish(number, Notice{held.handed.id, entry.unsettled.empty(), 0});
+      finish(number, Notice{held.handed.id, entry.maybe_executed.empty(), 0});
       return;
     }
     // Where the wall clock was stepped back meanwhile, no life is longer for it than its class allows,
@@ -216,8 +216,8 @@
     in.tenant = tenant_of(held.handed.tenant);
     in.destination = held.handed.destination;
     in.attempts = entry.attempts;
-    if (!entry.unsettled.empty()) {
-      const auto& [sent, zone] = entry.unsettled.begin()->second;
+    if (!entry.maybe_executed.empty()) {
+      const auto& [sent, zone] = entry.maybe_executed.begin()->second;
       in.maybe_executed = true;
       in.maybe_executed_sent = now + (sent - wall);
       // and how long ago an attempt of a time to come was made is not known: no window counts on it.
@@ -272,8 +272,8 @@
   const Time wall = wall_now();
   const auto destinations = directory_.destinations().size();
   auto change = directory_.apply(list, wall);
-  journal_.remember(kRevision, std::to_string(directory_.revision()));
-  for (const std::string& id : directory_.prune_removed(wall)) journal_.remember(kGone + id, "");
+  journal_.put_metadata(kRevision, std::to_string(directory_.revision()));
+  for (const std::string& id : directory_.prune_removed(wall)) journal_.put_metadata(kGone + id, "");
   if (!change) return;
   const auto members = change->members;
   happened(std::move(*change));
@@ -282,15 +282,15 @@
     forget_gone(member.endpoint);
   }
   if (directory_.destinations().size() != destinations) {
-    journal_.remember(kDestinations, nlohmann::json(directory_.destinations()).dump());
+    journal_.put_metadata(kDestinations, nlohmann::json(directory_.destinations()).dump());
   }
   std::erase_if(waits_, [now = steady_now()](const auto& wait) { return wait.second <= now; });
 }
 
 void Relay::remember_host(const ListedHost& host) {
   const bool gone = host.member.state == HostState::kRemoved;
-  journal_.remember(kHost + host.id, gone ? "" : host.text);
-  journal_.remember(kGone + host.id, gone ? std::to_string(directory_.removed().at(host.id)) : "");
+  journal_.put_metadata(kHost + host.id, gone ? "" : host.text);
+  journal_.put_metadata(kGone + host.id, gone ? std::to_string(directory_.removed().at(host.id)) : "");
 }
 
 // Its connections are of no use, and a machine that takes its address over must not get them. It is known
@@ -359,12 +359,12 @@
   if (wait != waits_.end() && wait->second > steady_now()) return StartDecision::kNo;
   Held& held = it->second;
   if (held.recorded != call.attempt) {
-    if (!journal_.attempt(held.handed.id, call.attempt, wall_now(), host->member.zone))
+    if (!journal_.record_attempt(held.handed.id, call.attempt, wall_now(), host->member.zone))
       return StartDecision::kNo;
     held.recorded = call.attempt;
-    held.safe_at = journal_.position();
+    held.safe_at = journal_.written_position();
   }
-  if (journal_.durable(held.safe_at)) return StartDecision::kYes;
+  if (journal_.is_durable(held.safe_at)) return StartDecision::kYes;
   sync();
   return StartDecision::kLater;
 }
@@ -392,7 +392,7 @@
     if (end.final) {
       finish(end.id, {});
     } else if (never && (began || held->second.recorded == end.attempt)) {
-      journal_.never_ran(held->second.handed.id, end.attempt);
+      journal_.record_not_executed(held->second.handed.id, end.attempt);
     }
   }
   happened(end);
@@ -414,7 +414,7 @@
   policy_.step(steady_now(), events, actions);
   answer_pending(actions);
   for (const Action& action : actions) carry_out(action);
-  journal_.tidy(kTidyBytes);
+  journal_.compact(kTidyBytes);
   sync();
   arm();
 }
@@ -443,9 +443,9 @@
       const Submission& handed = held->second.handed;
       if (const auto away = turned_away.find(item.number); away != turned_away.end()) {
         line->second = away->second;
-      } else if (journal_.accepted(handed, wall_now() + held->second.due - steady_now())) {
+      } else if (journal_.record_accepted(handed, wall_now() + held->second.due - steady_now())) {
         held->second.accepted = true;
-        held->second.safe_at = journal_.position();
+        held->second.safe_at = journal_.written_position();
       } else {
         line->second = busy(handed.body.size());  // no room on the disk
         happened(Withdrawn{item.number});
@@ -464,22 +464,23 @@
 }
 
 void Relay::answer_taken(uint64_t position, ClientServer::ReplyCallback answer) {
-  if (journal_.durable(position)) return answer(kTaken);
+  if (journal_.is_durable(position)) return answer(kTaken);
   unanswered_.push_back({position, std::move(answer)});
 }
 
 // One sync for all that was written meanwhile; nothing waits where the process's end is all there is to fear.
 void Relay::sync() {
-  if (!syncer_ || !journal_.sync_wanted() || sync_failed_) return;
+  if (!syncer_ || !journal_.needs_sync() || sync_failed_) return;
   boost::asio::post(*syncer_, [this, sync = journal_.begin_sync()] {
-    const bool good = umberhoist::state::Journal::carry_out(*files_, sync);
+    const bool good = umberhoist::state::Journal::execute_sync(*files_, sync);
     boost::asio::post(io_, [this, sync, good] { synced(sync, good); });
   });
 }
 
-void Relay::synced(const umberhoist::state::Journal::Sync& sync, bool good) {
+void Relay::synced(const umberhoist::state::Journal::SyncRequest& sync, bool good) {
   journal_.end_sync(sync, good);
-  if (!good || !sync.whole) {  // in the second case the disk has no room to write anew what is in doubt
+  if (!good ||
+      !sync.covers_everything) {  // in the second case the disk has no room to write anew what is in doubt
     if (!good && !std::exchange(sync_told_, true)) {
       std::fprintf(stderr, "journal: the disk did not take a sync: nothing is answered until it does\n");
     }
@@ -493,7 +494,7 @@
     return;
   }
   if (std::exchange(sync_told_, false)) std::fprintf(stderr, "journal: the disk takes syncs again\n");
-  while (!unanswered_.empty() && journal_.durable(unanswered_.front().position)) {
+  while (!unanswered_.empty() && journal_.is_durable(unanswered_.front().position)) {
     unanswered_.front().value(kTaken);
     unanswered_.pop_front();
   }
@@ -560,7 +561,7 @@
     unrecorded_.push_back(std::move(*notice));
     record_notices();
   } else {
-    journal_.done(held->second.handed.id);
+    journal_.record_done(held->second.handed.id);
   }
   room_.record_release(steady_now(), held->second.handed.body.size());
   numbers_.erase(held->second.handed.id);
@@ -568,7 +569,7 @@
 }
 
 void Relay::send_notices() {
-  while (!unsent_.empty() && journal_.durable(unsent_.front().position)) {
+  while (!unsent_.empty() && journal_.is_durable(unsent_.front().position)) {
     notices_.add(std::move(unsent_.front().value));
     unsent_.pop_front();
   }
@@ -577,8 +578,8 @@
 // A notice is sent once it is recorded: its client may come again on it, and a restart must not send what it
 // ended.
 void Relay::record_notices() {
-  while (!unrecorded_.empty() && journal_.owed(unrecorded_.front())) {
-    unsent_.push_back({journal_.position(), std::move(unrecorded_.front())});
+  while (!unrecorded_.empty() && journal_.record_notice(unrecorded_.front())) {
+    unsent_.push_back({journal_.written_position(), std::move(unrecorded_.front())});
     unrecorded_.pop_front();
   }
   send_notices();
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -87,7 +87,7 @@
   void send_notices();
   void answer_taken(uint64_t position, ClientServer::ReplyCallback answer);
   void sync();
-  void synced(const umberhoist::state::Journal::Sync& sync, bool good);
+  void synced(const umberhoist::state::Journal::SyncRequest& sync, bool good);
   void arm();
   void wait_for_end();
   std::pair<int, Endpoint> lane_of(const Member& member) const;
--- a/shards/map.cpp
+++ b/shards/map.cpp
@@ -77,7 +77,7 @@
     bound(table, "last", out.last);
     const auto* owner = table.get("owner");
     const auto name = owner == nullptr ? std::nullopt : owner->value_exact<std::string>();
-    if (!name || name->empty() || name->size() > kMostName || !state::plain(*name)) {
+    if (!name || name->empty() || name->size() > kMostName || !state::is_printable_ascii(*name)) {
       fault(owner == nullptr ? out.line : line(*owner),
             "owner is missing or wrong; expected a name of 1 to " + std::to_string(kMostName) +
                 " plain letters");
--- a/state/bytes.h
+++ b/state/bytes.h
@@ -9,20 +9,20 @@
 
 namespace umberhoist::state {
 
-class Writer {
+class ByteWriter {
  public:
   template <class Number>
-  Writer& number(Number value) {
+  ByteWriter& write_number(Number value) {
     char raw[sizeof value];
     std::memcpy(raw, &value, sizeof value);
     out_.append(raw, sizeof raw);
     return *this;
   }
-  Writer& text(std::string_view value) {  // up to 64 KiB
-    number(static_cast<uint16_t>(value.size()));
-    return rest(value);
+  ByteWriter& write_string(std::string_view value) {  // up to 64 KiB
+    write_number(static_cast<uint16_t>(value.size()));
+    return write_bytes(value);
   }
-  Writer& rest(std::string_view value) {
+  ByteWriter& write_bytes(std::string_view value) {
     out_.append(value);
     return *this;
   }
@@ -33,29 +33,29 @@
 };
 
 // Once something was not there, it is not good, and all that is read further is empty.
-class Reader {
+class ByteReader {
  public:
-  explicit Reader(std::string_view bytes) : bytes_(bytes) {}
+  explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
   template <class Number>
-  Number number() {
+  Number read_number() {
     Number value{};
-    const auto raw = take(sizeof value);
-    if (good_) std::memcpy(&value, raw.data(), sizeof value);
+    const auto raw = consume(sizeof value);
+    if (ok_) std::memcpy(&value, raw.data(), sizeof value);
     return value;
   }
   template <class Length = uint16_t>
-  std::string text() {
-    const Length size = number<Length>();
-    return std::string(take(size < Length{0} ? bytes_.size() + 1 : static_cast<size_t>(size)));
+  std::string read_string() {
+    const Length size = read_number<Length>();
+    return std::string(consume(size < Length{0} ? bytes_.size() + 1 : static_cast<size_t>(size)));
   }
-  std::string rest() { return std::string(take(bytes_.size())); }
-  bool good() const { return good_; }
-  bool all() const { return good_ && bytes_.empty(); }
+  std::string read_rest() { return std::string(consume(bytes_.size())); }
+  bool ok() const { return ok_; }
+  bool at_end() const { return ok_ && bytes_.empty(); }
 
  private:
-  std::string_view take(size_t count) {
-    if (!good_ || count > bytes_.size()) {
-      good_ = false;
+  std::string_view consume(size_t count) {
+    if (!ok_ || count > bytes_.size()) {
+      ok_ = false;
       return {};
     }
     const auto out = bytes_.substr(0, count);
@@ -64,7 +64,7 @@
   }
 
   std::string_view bytes_;
-  bool good_ = true;
+  bool ok_ = true;
 };
 
 }  // namespace umberhoist::state
--- a/state/files.cpp
+++ b/state/files.cpp
@@ -14,8 +14,8 @@
 
 class RealFiles : public Files {
  public:
-  RealFiles(std::filesystem::path folder, bool only_read)
-      : folder_(std::move(folder)), only_read_(only_read) {}
+  RealFiles(std::filesystem::path folder, bool read_only)
+      : folder_(std::move(folder)), read_only_(read_only) {}
 
   std::vector<std::string> list() override {
     std::vector<std::string> out;
@@ -27,7 +27,7 @@
     return out;
   }
   int create(const std::string& name) override {
-    if (only_read_) return -1;
+    if (read_only_) return -1;
     return ::open(path(name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
   }
   int open(const std::string& name) override { return ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC); }
@@ -51,9 +51,9 @@
   }
   bool truncate(int file, size_t size) override { return ::ftruncate(file, static_cast<off_t>(size)) == 0; }
   bool rename(const std::string& from, const std::string& to) override {
-    return !only_read_ && ::rename(path(from).c_str(), path(to).c_str()) == 0;
+    return !read_only_ && ::rename(path(from).c_str(), path(to).c_str()) == 0;
   }
-  bool remove(const std::string& name) override { return !only_read_ && ::unlink(path(name).c_str()) == 0; }
+  bool remove(const std::string& name) override { return !read_only_ && ::unlink(path(name).c_str()) == 0; }
   bool sync(int file) override { return ::fdatasync(file) == 0; }
   bool sync_folder() override {
     const int folder = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
@@ -62,26 +62,26 @@
     ::close(folder);
     return good;
   }
-  void forget(int file) override { ::posix_fadvise(file, 0, 0, POSIX_FADV_DONTNEED); }
+  void drop_page_cache(int file) override { ::posix_fadvise(file, 0, 0, POSIX_FADV_DONTNEED); }
   void close(int file) override { ::close(file); }
 
  private:
   std::string path(const std::string& name) const { return folder_ / name; }
   std::filesystem::path folder_;
-  bool only_read_;
+  bool read_only_;
 };
 
 }  // namespace
 
-std::unique_ptr<Files> real_files(const std::filesystem::path& folder, bool only_read) {
+std::unique_ptr<Files> make_posix_files(const std::filesystem::path& folder, bool read_only) {
   std::error_code error;
   const bool there = std::filesystem::is_directory(folder, error);
-  if (!there || ::access(folder.c_str(), R_OK | X_OK | (only_read ? 0 : W_OK)) != 0) {
+  if (!there || ::access(folder.c_str(), R_OK | X_OK | (read_only ? 0 : W_OK)) != 0) {
     throw std::runtime_error("state folder " + folder.string() + ": " +
                              (there ? std::strerror(errno) : "no such folder") +
-                             "; expected a folder that can be read" + (only_read ? "" : " and written"));
+                             "; expected a folder that can be read" + (read_only ? "" : " and written"));
   }
-  return std::make_unique<RealFiles>(folder, only_read);
+  return std::make_unique<RealFiles>(folder, read_only);
 }
 
 }  // namespace umberhoist::state
--- a/state/files.h
+++ b/state/files.h
@@ -12,8 +12,11 @@
 
 namespace umberhoist::state {
 
-constexpr size_t kBlock = 512;  // the platform counts each file in whole ones (deployment page, "Disk")
-constexpr size_t counted(size_t bytes) { return (bytes + kBlock - 1) / kBlock * kBlock; }
+constexpr size_t kDiskBlockBytes =
+    512;  // the platform counts each file in whole ones (deployment page, "Disk")
+constexpr size_t block_rounded(size_t bytes) {
+  return (bytes + kDiskBlockBytes - 1) / kDiskBlockBytes * kDiskBlockBytes;
+}
 
 // Nothing here throws. A file is a small number, negative where there is none.
 class Files {
@@ -34,12 +37,12 @@
   virtual bool sync_folder() = 0;
   // What is read next comes from the disk: after a failed sync of an earlier process it may not be what that
   // one had written, though it can be read.
-  virtual void forget(int file) = 0;
+  virtual void drop_page_cache(int file) = 0;
   virtual void close(int file) = 0;
 };
 
-// Throws std::runtime_error if the folder cannot be used. `only_read`: nothing in it is ever changed, and all
+// Throws std::runtime_error if the folder cannot be used. `read_only`: nothing in it is ever changed, and all
 // that would change it fails.
-std::unique_ptr<Files> real_files(const std::filesystem::path& folder, bool only_read = false);
+std::unique_ptr<Files> make_posix_files(const std::filesystem::path& folder, bool read_only = false);
 
 }  // namespace umberhoist::state
--- a/state/format.cpp
+++ b/state/format.cpp
@@ -34,37 +34,42 @@
 
 }  // namespace
 
-std::string encode(const Header& h) {
-  std::string owner = h.owner.substr(0, kMostOwner);
-  owner.resize(kMostOwner, '\0');
-  Writer out;
-  out.rest(kMagic).number(h.version).number(uint32_t{0}).number(h.number).number(h.salt).rest(owner);
-  out.rest(std::string(12, '\0'));
+std::string encode(const SegmentHeader& h) {
+  std::string owner = h.owner.substr(0, kMaxOwnerBytes);
+  owner.resize(kMaxOwnerBytes, '\0');
+  ByteWriter out;
+  out.write_bytes(kMagic)
+      .write_number(h.version)
+      .write_number(uint32_t{0})
+      .write_number(h.segment_number)
+      .write_number(h.salt)
+      .write_bytes(owner);
+  out.write_bytes(std::string(12, '\0'));
   std::string copy = out.take();
   const uint32_t sum = checksum(0, copy, {});
   copy.append(reinterpret_cast<const char*>(&sum), sizeof sum);
   return copy + copy;
 }
 
-std::optional<Header> decode_header(std::string_view bytes) {
+std::optional<SegmentHeader> decode_header(std::string_view bytes) {
   for (const size_t at : {size_t{0}, kCopyBytes}) {
     if (bytes.size() < at + kCopyBytes) return {};
     const auto copy = bytes.substr(at, kCopyBytes);
     if (!copy.starts_with(kMagic)) continue;
     if (checksum(0, copy.substr(0, kCopyBytes - 4), {}) != number_at<uint32_t>(copy, kCopyBytes - 4))
       continue;
-    Header out;
+    SegmentHeader out;
     out.version = number_at<uint32_t>(copy, 8);
-    out.number = number_at<uint64_t>(copy, 16);
+    out.segment_number = number_at<uint64_t>(copy, 16);
     out.salt = number_at<uint64_t>(copy, 24);
-    const auto owner = copy.substr(32, kMostOwner);
+    const auto owner = copy.substr(32, kMaxOwnerBytes);
     out.owner = owner.substr(0, owner.find('\0'));
     return out;
   }
   return {};
 }
 
-std::string frame(uint64_t salt, Kind kind, std::string_view payload) {
+std::string frame_record(uint64_t salt, RecordKind kind, std::string_view payload) {
   std::string out(kMark, sizeof kMark);
   out.push_back(static_cast<char>(kind));
   out.push_back('\0');
@@ -75,107 +80,113 @@
   return out.append(payload);
 }
 
-std::string encode(const Accepted& a) {
-  Writer out;
-  out.number(a.order).number(a.due).number(static_cast<int32_t>(a.message.destination));
-  const uint8_t notice = !a.owed ? 0 : a.owed->returned ? 2 : 1;
-  out.number(static_cast<uint8_t>(notice | (a.message.tenant.empty() ? 0 : kNamesTenant)));
-  out.number(a.owed ? a.owed->retry_after : Time{0});
-  out.number(static_cast<uint16_t>(a.attempts.size()));
+std::string encode(const AcceptedMessage& a) {
+  ByteWriter out;
+  out.write_number(a.sequence).write_number(a.due).write_number(static_cast<int32_t>(a.message.destination));
+  const uint8_t notice = !a.pending_notice ? 0 : a.pending_notice->returned ? 2 : 1;
+  out.write_number(static_cast<uint8_t>(notice | (a.message.tenant.empty() ? 0 : kNamesTenant)));
+  out.write_number(a.pending_notice ? a.pending_notice->retry_after : Micros{0});
+  out.write_number(static_cast<uint16_t>(a.attempts.size()));
   for (const Attempt& t : a.attempts) {
-    out.number(static_cast<uint16_t>(t.number)).number(t.sent).number(static_cast<int16_t>(t.zone));
-    out.number(static_cast<uint8_t>(t.never_ran));
+    out.write_number(static_cast<uint16_t>(t.number))
+        .write_number(t.sent)
+        .write_number(static_cast<int16_t>(t.zone));
+    out.write_number(static_cast<uint8_t>(t.not_executed));
   }
-  out.text(a.message.id).text(a.message.message_class).text(a.message.key);
-  if (!a.message.tenant.empty()) out.text(a.message.tenant);
-  return out.rest(a.message.body).take();
+  out.write_string(a.message.id).write_string(a.message.message_class).write_string(a.message.key);
+  if (!a.message.tenant.empty()) out.write_string(a.message.tenant);
+  return out.write_bytes(a.message.body).take();
 }
 
-size_t framed_bytes(const Accepted& a) {
-  return kFrameBytes + 31 + kAttemptInCopy * a.attempts.size() + 6 + a.message.id.size() +
+size_t framed_size(const AcceptedMessage& a) {
+  return kFrameHeaderBytes + 31 + kEncodedAttemptBytes * a.attempts.size() + 6 + a.message.id.size() +
          a.message.message_class.size() + a.message.key.size() + a.message.body.size() +
          (a.message.tenant.empty() ? 0 : 2 + a.message.tenant.size());
 }
 
 std::string encode_attempt(uint64_t order, const Attempt& t) {
-  return Writer()
-      .number(order)
-      .number(static_cast<uint16_t>(t.number))
-      .number(t.sent)
-      .number(static_cast<int16_t>(t.zone))
+  return ByteWriter()
+      .write_number(order)
+      .write_number(static_cast<uint16_t>(t.number))
+      .write_number(t.sent)
+      .write_number(static_cast<int16_t>(t.zone))
       .take();
 }
-std::string encode_never_ran(uint64_t order, int number) {
-  return Writer().number(order).number(static_cast<uint16_t>(number)).take();
+std::string encode_not_executed(uint64_t order, int number) {
+  return ByteWriter().write_number(order).write_number(static_cast<uint16_t>(number)).take();
 }
-std::string encode_owed(uint64_t order, bool returned, Time after) {
-  return Writer().number(order).number(static_cast<uint8_t>(returned)).number(after).take();
+std::string encode_notice(uint64_t order, bool returned, Micros retry_after) {
+  return ByteWriter()
+      .write_number(order)
+      .write_number(static_cast<uint8_t>(returned))
+      .write_number(retry_after)
+      .take();
 }
-std::string encode_done(uint64_t order) { return Writer().number(order).take(); }
-std::string encode_fact(std::string_view name, std::string_view value) {
-  return Writer().text(name).rest(value).take();
+std::string encode_done(uint64_t order) { return ByteWriter().write_number(order).take(); }
+std::string encode_metadata(std::string_view name, std::string_view value) {
+  return ByteWriter().write_string(name).write_bytes(value).take();
 }
 
-std::optional<Accepted> decode_accepted(std::string_view payload) {
-  Reader in(payload);
-  Accepted out;
-  out.order = in.number<uint64_t>();
-  out.due = in.number<Time>();
-  out.message.destination = in.number<int32_t>();
-  const auto marks = in.number<uint8_t>();
+std::optional<AcceptedMessage> decode_accepted(std::string_view payload) {
+  ByteReader in(payload);
+  AcceptedMessage out;
+  out.sequence = in.read_number<uint64_t>();
+  out.due = in.read_number<Micros>();
+  out.message.destination = in.read_number<int32_t>();
+  const auto marks = in.read_number<uint8_t>();
   const int owed = marks & ~kNamesTenant;
-  const Time after = in.number<Time>();
-  const auto count = in.number<uint16_t>();
-  for (size_t i = 0; i < count && in.good(); ++i) {
+  const Micros after = in.read_number<Micros>();
+  const auto count = in.read_number<uint16_t>();
+  for (size_t i = 0; i < count && in.ok(); ++i) {
     Attempt t;
-    t.number = in.number<uint16_t>();
-    t.sent = in.number<Time>();
-    t.zone = in.number<int16_t>();
-    t.never_ran = in.number<uint8_t>() != 0;
+    t.number = in.read_number<uint16_t>();
+    t.sent = in.read_number<Micros>();
+    t.zone = in.read_number<int16_t>();
+    t.not_executed = in.read_number<uint8_t>() != 0;
     out.attempts.push_back(t);
   }
-  out.message.id = in.text();
-  out.message.message_class = in.text();
-  out.message.key = in.text();
-  if ((marks & kNamesTenant) != 0) out.message.tenant = in.text();
-  out.message.body = in.rest();
-  if (owed != 0) out.owed = firspool::relay::Notice{out.message.id, owed == 2, after};
-  return in.all() ? std::optional(std::move(out)) : std::nullopt;
+  out.message.id = in.read_string();
+  out.message.message_class = in.read_string();
+  out.message.key = in.read_string();
+  if ((marks & kNamesTenant) != 0) out.message.tenant = in.read_string();
+  out.message.body = in.read_rest();
+  if (owed != 0) out.pending_notice = firspool::relay::Notice{out.message.id, owed == 2, after};
+  return in.at_end() ? std::optional(std::move(out)) : std::nullopt;
 }
 std::optional<std::pair<uint64_t, Attempt>> decode_attempt(std::string_view payload) {
-  Reader in(payload);
-  const auto order = in.number<uint64_t>();
+  ByteReader in(payload);
+  const auto order = in.read_number<uint64_t>();
   Attempt t;
-  t.number = in.number<uint16_t>();
-  t.sent = in.number<Time>();
-  t.zone = in.number<int16_t>();
-  return in.all() ? std::optional(std::pair(order, t)) : std::nullopt;
-}
-std::optional<std::pair<uint64_t, int>> decode_never_ran(std::string_view payload) {
-  Reader in(payload);
-  const auto order = in.number<uint64_t>();
-  const int number = in.number<uint16_t>();
-  return in.all() ? std::optional(std::pair(order, number)) : std::nullopt;
-}
-std::optional<std::pair<uint64_t, Owed>> decode_owed(std::string_view payload) {
-  Reader in(payload);
-  const auto order = in.number<uint64_t>();
-  Owed out;
-  out.returned = in.number<uint8_t>() != 0;
-  out.after = in.number<Time>();
-  return in.all() ? std::optional(std::pair(order, out)) : std::nullopt;
+  t.number = in.read_number<uint16_t>();
+  t.sent = in.read_number<Micros>();
+  t.zone = in.read_number<int16_t>();
+  return in.at_end() ? std::optional(std::pair(order, t)) : std::nullopt;
+}
+std::optional<std::pair<uint64_t, int>> decode_not_executed(std::string_view payload) {
+  ByteReader in(payload);
+  const auto order = in.read_number<uint64_t>();
+  const int number = in.read_number<uint16_t>();
+  return in.at_end() ? std::optional(std::pair(order, number)) : std::nullopt;
+}
+std::optional<std::pair<uint64_t, NoticeRecord>> decode_notice(std::string_view payload) {
+  ByteReader in(payload);
+  const auto order = in.read_number<uint64_t>();
+  NoticeRecord out;
+  out.returned = in.read_number<uint8_t>() != 0;
+  out.retry_after = in.read_number<Micros>();
+  return in.at_end() ? std::optional(std::pair(order, out)) : std::nullopt;
 }
 std::optional<uint64_t> decode_done(std::string_view payload) {
-  Reader in(payload);
-  const auto order = in.number<uint64_t>();
-  return in.all() ? std::optional(order) : std::nullopt;
+  ByteReader in(payload);
+  const auto order = in.read_number<uint64_t>();
+  return in.at_end() ? std::optional(order) : std::nullopt;
 }
-std::optional<Fact> decode_fact(std::string_view payload) {
-  Reader in(payload);
-  Fact out;
-  out.name = in.text();
-  out.value = in.rest();
-  return in.all() ? std::optional(std::move(out)) : std::nullopt;
+std::optional<MetadataEntry> decode_metadata(std::string_view payload) {
+  ByteReader in(payload);
+  MetadataEntry out;
+  out.name = in.read_string();
+  out.value = in.read_rest();
+  return in.at_end() ? std::optional(std::move(out)) : std::nullopt;
 }
 
 SegmentReader::SegmentReader(Files& files, int file, uint64_t salt)
@@ -185,56 +196,57 @@
       size_(static_cast<size_t>(std::max<ssize_t>(0, files.size(file)))) {}
 
 size_t SegmentReader::fill(size_t want) {
-  const size_t held = from_ + buffer_.size() - at_;
-  if (held >= want || ended_) return held;
-  buffer_.erase(0, at_ - from_);
-  from_ = at_;
-  while (buffer_.size() < want && !ended_) {
+  const size_t held = buffer_start_ + buffer_.size() - offset_;
+  if (held >= want || at_file_end_) return held;
+  buffer_.erase(0, offset_ - buffer_start_);
+  buffer_start_ = offset_;
+  while (buffer_.size() < want && !at_file_end_) {
     const size_t before = buffer_.size();
-    const size_t most = std::min(kReadAtOnce, size_ - std::min(size_, from_ + before));
+    const size_t most = std::min(kReadAtOnce, size_ - std::min(size_, buffer_start_ + before));
     buffer_.resize(before + most);
-    const ssize_t got = most == 0 ? 0 : files_.read(file_, from_ + before, buffer_.data() + before, most);
+    const ssize_t got =
+        most == 0 ? 0 : files_.read(file_, buffer_start_ + before, buffer_.data() + before, most);
     buffer_.resize(before + static_cast<size_t>(std::max<ssize_t>(0, got)));
-    ended_ = got <= 0;  // what cannot be read is as good as not there
+    at_file_end_ = got <= 0;  // what cannot be read is as good as not there
   }
   return buffer_.size();
 }
 
 // A whole record at this place of the buffer.
-bool SegmentReader::whole(size_t at, Item& out) {
-  const auto bytes = std::string_view(buffer_).substr(at - from_);
-  if (bytes.size() < kFrameBytes || bytes[0] != kMark[0] || bytes[1] != kMark[1]) return false;
+bool SegmentReader::parse_record(size_t at, Item& out) {
+  const auto bytes = std::string_view(buffer_).substr(at - buffer_start_);
+  if (bytes.size() < kFrameHeaderBytes || bytes[0] != kMark[0] || bytes[1] != kMark[1]) return false;
   const size_t size = number_at<uint32_t>(bytes, 4);
-  if (size > kMostRecord || bytes.size() < kFrameBytes + size) return false;
-  const auto payload = bytes.substr(kFrameBytes, size);
+  if (size > kMaxPayloadBytes || bytes.size() < kFrameHeaderBytes + size) return false;
+  const auto payload = bytes.substr(kFrameHeaderBytes, size);
   if (checksum(salt_, bytes.substr(2, 6), payload) != number_at<uint32_t>(bytes, 8)) return false;
-  out.what = Item::What::kRecord;
-  out.kind = static_cast<Kind>(bytes[2]);
+  out.type = Item::Type::kRecord;
+  out.kind = static_cast<RecordKind>(bytes[2]);
   out.payload = payload;
-  out.at = at;
-  out.bytes = kFrameBytes + size;
+  out.offset = at;
+  out.size = kFrameHeaderBytes + size;
   return true;
 }
 
 SegmentReader::Item SegmentReader::next() {
   Item out;
-  if (fill(kFrameBytes + kMostRecord) == 0) return out;
-  if (whole(at_, out)) {
-    at_ += out.bytes;
+  if (fill(kFrameHeaderBytes + kMaxPayloadBytes) == 0) return out;
+  if (parse_record(offset_, out)) {
+    offset_ += out.size;
     return out;
   }
   // Damage: up to the next whole record, or to the end.
-  out.what = Item::What::kDamage;
-  out.at = at_;
+  out.type = Item::Type::kDamage;
+  out.offset = offset_;
   Item found;
   do {
-    ++at_;
-    if (fill(kFrameBytes + kMostRecord) == 0) {
-      out.tail = true;
+    ++offset_;
+    if (fill(kFrameHeaderBytes + kMaxPayloadBytes) == 0) {
+      out.is_tail = true;
       break;
     }
-  } while (!whole(at_, found));
-  out.bytes = at_ - out.at;
+  } while (!parse_record(offset_, found));
+  out.size = offset_ - out.offset;
   return out;
 }
 
--- a/state/journal.cpp
+++ b/state/journal.cpp
@@ -35,7 +35,7 @@
   return out;
 }
 
-std::optional<Header> read_header(Files& files, int file) {
+std::optional<SegmentHeader> read_header(Files& files, int file) {
   char bytes[kHeaderBytes];
   const ssize_t got = files.read(file, 0, bytes, sizeof bytes);
   return got <= 0 ? std::nullopt : decode_header({bytes, static_cast<size_t>(got)});
@@ -55,22 +55,24 @@
 Journal::Journal(Files& files, JournalOptions options)
     : files_(files),
       options_(std::move(options)),
-      segment_bytes_(std::max(kLeastSegment, std::min(kMostSegment, options_.disk / kSegments))),
-      next_salt_(options_.seed != 0 ? options_.seed
-                                    : (uint64_t{std::random_device{}()} << 32) | std::random_device{}()) {
-  if (options_.durability == Durability::kGroup) settle_folder();
-  read_all();
-  touched_.clear();
-  folder_dirty_ = folder_dirty_ || !findings_.lines.empty();
+      segment_bytes_(std::max(kMinSegmentBytes,
+                              std::min(kMaxSegmentBytes, options_.max_disk_bytes / kTargetSegmentCount))),
+      salt_counter_(options_.salt_seed != 0
+                        ? options_.salt_seed
+                        : (uint64_t{std::random_device{}()} << 32) | std::random_device{}()) {
+  if (options_.durability == Durability::kGroupCommit) sync_existing_files();
+  read_folder();
+  unsynced_messages_.clear();
+  folder_dirty_ = folder_dirty_ || !recovery_report_.log_lines.empty();
 }
 
 // What a killed process wrote may not be on the disk yet, and is about to be built on.
-void Journal::settle_folder() {
+void Journal::sync_existing_files() {
   for (const std::string& name : files_.list()) {
     if (!number_of(name)) continue;
     const int file = files_.open(name);
     const bool good = file >= 0 && files_.sync(file);
-    if (good) files_.forget(file);
+    if (good) files_.drop_page_cache(file);
     if (file >= 0) files_.close(file);
     if (!good) throw std::runtime_error(name + " of the state folder cannot be synced to the disk");
   }
@@ -79,19 +81,19 @@
 
 Journal::~Journal() {
   close_segment();
-  for (const int file : closing_) files_.close(file);
+  for (const int file : files_to_close_) files_.close(file);
 }
 
 // ---- Reading ----
 
-void Journal::read_all() {
+void Journal::read_folder() {
   std::set<uint64_t> numbers;
   bool legacy = false;
   std::vector<std::string> others;
   for (const std::string& name : files_.list()) {
     if (const auto number = number_of(name)) {
       numbers.insert(*number);
-    } else if (name == kLegacyName) {
+    } else if (name == kLegacyFileName) {
       legacy = true;
     } else {
       others.push_back(name);
@@ -107,26 +109,26 @@
     segment.size = static_cast<size_t>(std::max<ssize_t>(0, files_.size(file)));
     const auto header = read_header(files_, file);
     files_.close(file);
-    if (header && (header->version < kOldestVersion || header->version > kVersion)) {
+    if (header && (header->version < kMinFormatVersion || header->version > kFormatVersion)) {
       throw std::runtime_error(segment.name + " is of version " + std::to_string(header->version) +
-                               "; expected " + std::to_string(kOldestVersion) + " to " +
-                               std::to_string(kVersion) + ". Nothing was changed");
+                               "; expected " + std::to_string(kMinFormatVersion) + " to " +
+                               std::to_string(kFormatVersion) + ". Nothing was changed");
     }
     if (!header && segment.size == 0) {
       strange[number] = number == *numbers.rbegin() ? "" : "it is empty";
     } else if (!header) {
       strange[number] =
           segment.size < kHeaderBytes && number == *numbers.rbegin() ? "" : "its header cannot be read";
-    } else if (header->number != number) {
-      strange[number] = "it is segment " + std::to_string(header->number) + " under another name";
-    } else if (header->owner != options_.owner.substr(0, kMostOwner)) {
+    } else if (header->segment_number != number) {
+      strange[number] = "it is segment " + std::to_string(header->segment_number) + " under another name";
+    } else if (header->owner != options_.owner.substr(0, kMaxOwnerBytes)) {
       strange[number] = "it belongs to relay " + header->owner;
     } else {
       segment.salt = header->salt;
       add_segment(number, std::move(segment));
     }
   }
-  last_number_ = numbers.empty() ? 0 : *numbers.rbegin();
+  last_segment_ = numbers.empty() ? 0 : *numbers.rbegin();
   for (const auto& [number, why] : strange) {
     if (why.empty()) {  // begun, and its process killed before there was anything in it
       files_.remove(name_of(number));
@@ -141,24 +143,24 @@
     }
     const int file = files_.open(name);
     if (file < 0) continue;
-    others_[name] = static_cast<size_t>(std::max<ssize_t>(0, files_.size(file)));
-    aside_ += counted(others_[name]);
+    other_files_[name] = static_cast<size_t>(std::max<ssize_t>(0, files_.size(file)));
+    other_files_bytes_ += block_rounded(other_files_[name]);
     files_.close(file);
   }
-  if (legacy) carry_over();
+  if (legacy) migrate_legacy_journal();
 
-  std::map<uint64_t, Entry> orphans;
-  findings_.segments = segments_.size();
+  std::map<uint64_t, IndexedMessage> orphans;
+  recovery_report_.segments = segments_.size();
   for (const auto& [number, segment] : segments_) read_segment(number, orphans);
-  for (const Damage& damage : damages_) {
-    const std::string kept = keep_damage(damage);
-    findings_.lines.push_back(text("%s: %zu bytes at %zu cannot be read; what follows them is read%s",
-                                   damage.segment.c_str(), damage.bytes, damage.at,
-                                   kept.empty() ? "" : ("; they are kept as " + kept).c_str()));
+  for (const SegmentDamage& damage : segment_damages_) {
+    const std::string kept = save_damaged_bytes(damage);
+    recovery_report_.log_lines.push_back(
+        text("%s: %zu bytes at %zu cannot be read; what follows them is read%s", damage.segment.c_str(),
+             damage.size, damage.offset, kept.empty() ? "" : ("; they are kept as " + kept).c_str()));
   }
-  findings_.orphans = orphans.size();
+  recovery_report_.orphans = orphans.size();
   if (!orphans.empty()) {
-    findings_.lines.push_back(
+    recovery_report_.log_lines.push_back(
         text("%zu message(s) of which attempts are recorded and no acceptance can be read: they "
              "cannot be resumed",
              orphans.size()));
@@ -166,10 +168,10 @@
 }
 
 void Journal::set_aside(const std::string& name, const std::string& why) {
-  findings_.lines.push_back(name + " was set aside: " + why);
+  recovery_report_.log_lines.push_back(name + " was set aside: " + why);
   const int file = files_.open(name);
   if (file >= 0) {
-    aside_ += counted(static_cast<size_t>(std::max<ssize_t>(0, files_.size(file))));
+    other_files_bytes_ += block_rounded(static_cast<size_t>(std::max<ssize_t>(0, files_.size(file))));
     files_.close(file);
   }
   files_.rename(name, kAside + name);
@@ -177,18 +179,19 @@
 
 // For a person to look at: its segment goes in time. Only where there is room to spare, and only a part of
 // it.
-std::string Journal::keep_damage(const Damage& damage) {
-  const std::string name = text("%s%s-%zu", kAside, damage.segment.c_str(), damage.at);
-  if (const auto there = others_.find(name); there != others_.end() && there->second == damage.bytes)
+std::string Journal::save_damaged_bytes(const SegmentDamage& damage) {
+  const std::string name = text("%s%s-%zu", kAside, damage.segment.c_str(), damage.offset);
+  if (const auto there = other_files_.find(name); there != other_files_.end() && there->second == damage.size)
     return name;
-  const size_t bytes = counted(damage.bytes);
-  if (others_.contains(name) || aside_ + bytes > options_.disk / kAsidePart ||
-      used() + bytes + headroom() + 2 * segment_bytes_ > options_.disk) {
+  const size_t bytes = block_rounded(damage.size);
+  if (other_files_.contains(name) ||
+      other_files_bytes_ + bytes > options_.max_disk_bytes / kSetAsideDivisor ||
+      used_bytes() + bytes + compaction_reserve() + 2 * segment_bytes_ > options_.max_disk_bytes) {
     return "";
   }
-  std::string read(damage.bytes, '\0');
+  std::string read(damage.size, '\0');
   const int from = files_.open(damage.segment);
-  const ssize_t got = from < 0 ? -1 : files_.read(from, damage.at, read.data(), read.size());
+  const ssize_t got = from < 0 ? -1 : files_.read(from, damage.offset, read.data(), read.size());
   if (from >= 0) files_.close(from);
   if (got != static_cast<ssize_t>(read.size())) return "";
   const int to = files_.create(name);
@@ -198,26 +201,26 @@
     files_.remove(name);
     return "";
   }
-  aside_ += bytes;
+  other_files_bytes_ += bytes;
   return name;
 }
 
-void Journal::read_segment(uint64_t number, std::map<uint64_t, Entry>& orphans) {
+void Journal::read_segment(uint64_t number, std::map<uint64_t, IndexedMessage>& orphans) {
   const Segment& segment = segments_.at(number);
   const int file = files_.open(segment.name);
   SegmentReader reader(files_, file, segment.salt);
   for (;;) {
     const auto item = reader.next();
-    if (item.what == SegmentReader::Item::What::kEnd) break;
-    if (item.what == SegmentReader::Item::What::kRecord) {
-      ++findings_.records;
+    if (item.type == SegmentReader::Item::Type::kEnd) break;
+    if (item.type == SegmentReader::Item::Type::kRecord) {
+      ++recovery_report_.records;
       apply(item, number, orphans);
-    } else if (item.tail) {
-      findings_.torn_bytes += item.bytes;
+    } else if (item.is_tail) {
+      recovery_report_.torn_bytes += item.size;
     } else {
-      ++findings_.damages;
-      findings_.damaged_bytes += item.bytes;
-      damages_.push_back({segment.name, item.at, item.bytes});
+      ++recovery_report_.damaged_ranges;
+      recovery_report_.damaged_bytes += item.size;
+      segment_damages_.push_back({segment.name, item.offset, item.size});
     }
   }
   files_.close(file);
@@ -225,163 +228,169 @@
 
 // No record of a message comes after its end, and no copy of it: they are written in that order, and go in
 // it.
-void Journal::apply(const SegmentReader::Item& item, uint64_t segment, std::map<uint64_t, Entry>& orphans) {
-  const auto known = [&](uint64_t order) -> Entry& {
-    last_order_ = std::max(last_order_, order);
-    const auto it = entries_.find(order);
-    return it != entries_.end() ? it->second : orphans[order];
+void Journal::apply(const SegmentReader::Item& item, uint64_t segment,
+                    std::map<uint64_t, IndexedMessage>& orphans) {
+  const auto known = [&](uint64_t order) -> IndexedMessage& {
+    last_sequence_ = std::max(last_sequence_, order);
+    const auto it = messages_.find(order);
+    return it != messages_.end() ? it->second : orphans[order];
   };
-  const auto add = [&](uint64_t order, Entry& entry, const Attempt& attempt) {
+  const auto add = [&](uint64_t order, IndexedMessage& entry, const Attempt& attempt) {
     for (Attempt& t : entry.attempts) {
       if (t.number != attempt.number) continue;
-      t.never_ran = t.never_ran || attempt.never_ran;
+      t.not_executed = t.not_executed || attempt.not_executed;
       if (attempt.sent != 0) std::tie(t.sent, t.zone) = std::pair(attempt.sent, attempt.zone);
       return;
     }
     entry.attempts.push_back(attempt);
-    if (entries_.contains(order)) grow(entry, kAttemptInCopy);
+    if (messages_.contains(order)) grow_copy(entry, kEncodedAttemptBytes);
   };
   switch (item.kind) {
-    case Kind::kAccepted: {
+    case RecordKind::kAccepted: {
       auto accepted = decode_accepted(item.payload);
       if (!accepted) return;
-      last_order_ = std::max(last_order_, accepted->order);
-      Entry entry;
-      if (const auto it = entries_.find(accepted->order); it != entries_.end()) {
+      last_sequence_ = std::max(last_sequence_, accepted->sequence);
+      IndexedMessage entry;
+      if (const auto it = messages_.find(accepted->sequence); it != messages_.end()) {
         entry = it->second;
-        unplace(accepted->order, entry);
+        remove_from_segment(accepted->sequence, entry);
       } else {
-        entry = std::move(orphans[accepted->order]);
-        orphans.erase(accepted->order);
+        entry = std::move(orphans[accepted->sequence]);
+        orphans.erase(accepted->sequence);
         entry.id = accepted->message.id;
         // Accepted again while an end of its first time is not to be read: the newer one counts, and what the
         // older may have done is held against it.
-        if (const auto older = orders_.find(entry.id); older != orders_.end()) {
-          for (const Attempt& t : entries_.at(older->second).attempts) add(accepted->order, entry, t);
-          erase(older->second);
+        if (const auto older = sequence_by_id_.find(entry.id); older != sequence_by_id_.end()) {
+          for (const Attempt& t : messages_.at(older->second).attempts) add(accepted->sequence, entry, t);
+          erase_message(older->second);
         }
-        orders_[entry.id] = accepted->order;
+        sequence_by_id_[entry.id] = accepted->sequence;
       }
       for (const Attempt& t : accepted->attempts) add(0, entry, t);
-      if (accepted->owed) entry.owed = Owed{accepted->owed->returned, accepted->owed->retry_after};
+      if (accepted->pending_notice)
+        entry.pending_notice =
+            NoticeRecord{accepted->pending_notice->returned, accepted->pending_notice->retry_after};
       accepted->attempts = entry.attempts;
-      entry.copy = static_cast<uint32_t>(framed_bytes(*accepted));
-      Entry& kept = entries_[accepted->order] = std::move(entry);
-      place(accepted->order, kept, segment, item.at, item.payload.size());
+      entry.copy_bytes = static_cast<uint32_t>(framed_size(*accepted));
+      IndexedMessage& kept = messages_[accepted->sequence] = std::move(entry);
+      add_to_segment(accepted->sequence, kept, segment, item.offset, item.payload.size());
       return;
     }
-    case Kind::kAttempt:
+    case RecordKind::kAttempt:
       if (const auto t = decode_attempt(item.payload)) {
         add(t->first, known(t->first), t->second);
       }
       return;
-    case Kind::kNeverRan:
-      if (const auto t = decode_never_ran(item.payload)) {
+    case RecordKind::kNotExecuted:
+      if (const auto t = decode_not_executed(item.payload)) {
         add(t->first, known(t->first), {t->second, 0, 0, true});
       }
       return;
-    case Kind::kOwed:
-      if (const auto owed = decode_owed(item.payload)) {
-        known(owed->first).owed = owed->second;
+    case RecordKind::kNotice:
+      if (const auto owed = decode_notice(item.payload)) {
+        known(owed->first).pending_notice = owed->second;
       }
       return;
-    case Kind::kDone:
+    case RecordKind::kDone:
       if (const auto order = decode_done(item.payload)) {
-        last_order_ = std::max(last_order_, *order);
+        last_sequence_ = std::max(last_sequence_, *order);
         orphans.erase(*order);
-        if (entries_.contains(*order)) erase(*order);
+        if (messages_.contains(*order)) erase_message(*order);
       }
       return;
-    case Kind::kFact:
-      if (const auto fact = decode_fact(item.payload)) put_fact(fact->name, fact->value, segment);
+    case RecordKind::kMetadata:
+      if (const auto fact = decode_metadata(item.payload)) index_metadata(fact->name, fact->value, segment);
       return;
   }
 }
 
 // A kill at any byte leaves either the old file alone, or whole segments beside it: these came last, and
 // count.
-void Journal::carry_over() {
+void Journal::migrate_legacy_journal() {
   if (!segments_.empty()) {
-    files_.remove(kLegacyName);
+    files_.remove(kLegacyFileName);
     return;
   }
-  const auto legacy = read_legacy(files_, kLegacyName);
+  const auto legacy = read_legacy_journal(files_, kLegacyFileName);
   if (!legacy) throw std::runtime_error("cannot read the journal of the state folder");
-  if (legacy->damaged > 0) {
-    findings_.lines.push_back(
-        text("the journal of an earlier version: %zu bytes cannot be read", legacy->damaged));
+  if (legacy->damaged_bytes > 0) {
+    recovery_report_.log_lines.push_back(
+        text("the journal of an earlier version: %zu bytes cannot be read", legacy->damaged_bytes));
   }
-  Header header;
-  header.number = ++last_number_;
-  header.salt = ++next_salt_ * 0x9e3779b97f4a7c15;
+  SegmentHeader header;
+  header.segment_number = ++last_segment_;
+  header.salt = ++salt_counter_ * 0x9e3779b97f4a7c15;
   header.owner = options_.owner;
   std::string bytes = encode(header);
-  for (const auto& [name, value] : legacy->facts)
-    bytes += frame(header.salt, Kind::kFact, encode_fact(name, value));
-  for (const Accepted& a : legacy->messages) bytes += frame(header.salt, Kind::kAccepted, encode(a));
-  const bool group = options_.durability == Durability::kGroup;
+  for (const auto& [name, value] : legacy->metadata)
+    bytes += frame_record(header.salt, RecordKind::kMetadata, encode_metadata(name, value));
+  for (const AcceptedMessage& a : legacy->messages)
+    bytes += frame_record(header.salt, RecordKind::kAccepted, encode(a));
+  const bool group = options_.durability == Durability::kGroupCommit;
   const int file = files_.create(kCarryName);
   bool good = file >= 0 && append_all(files_, file, bytes) && (!group || files_.sync(file));
   if (file >= 0) files_.close(file);
   good = good && (!group || files_.sync_folder());
   Segment segment;
-  segment.name = name_of(header.number);
+  segment.name = name_of(header.segment_number);
   segment.salt = header.salt;
   segment.size = bytes.size();
   if (!good || !files_.rename(kCarryName, segment.name)) {
     files_.remove(kCarryName);
     throw std::runtime_error("no room in the state folder to carry the journal of an earlier version over");
   }
-  if (!group || files_.sync_folder()) files_.remove(kLegacyName);
-  findings_.lines.push_back(
+  if (!group || files_.sync_folder()) files_.remove(kLegacyFileName);
+  recovery_report_.log_lines.push_back(
       text("the journal of an earlier version was carried over: %zu message(s), %zu fact(s)",
-           legacy->messages.size(), legacy->facts.size()));
-  add_segment(header.number, std::move(segment));
+           legacy->messages.size(), legacy->metadata.size()));
+  add_segment(header.segment_number, std::move(segment));
 }
 
-std::optional<Accepted> Journal::read_message(int file, const Entry& entry, std::string& payload) {
-  payload.resize(entry.payload);
-  const ssize_t got = files_.read(file, entry.at + kFrameBytes, payload.data(), payload.size());
+std::optional<AcceptedMessage> Journal::read_message(int file, const IndexedMessage& entry,
+                                                     std::string& payload) {
+  payload.resize(entry.payload_bytes);
+  const ssize_t got = files_.read(file, entry.offset + kFrameHeaderBytes, payload.data(), payload.size());
   if (got != static_cast<ssize_t>(payload.size())) return {};
   auto out = decode_accepted(payload);
   if (!out || out->message.id != entry.id) return {};
   out->attempts = entry.attempts;
-  out->owed.reset();
-  if (entry.owed) out->owed = Notice{entry.id, entry.owed->returned, entry.owed->after};
+  out->pending_notice.reset();
+  if (entry.pending_notice)
+    out->pending_notice = Notice{entry.id, entry.pending_notice->returned, entry.pending_notice->retry_after};
   return out;
 }
 
-void Journal::recover(const std::function<void(Recovered)>& each) {
+void Journal::recover(const std::function<void(RecoveredMessage)>& each) {
   std::string payload;
   uint64_t open = 0;
   int file = -1;
-  for (const auto& [order, entry] : entries_) {
+  for (const auto& [order, entry] : messages_) {
     if (entry.segment != open) {
       if (file >= 0) files_.close(file);
       file = files_.open(segments_.at(open = entry.segment).name);
     }
     auto accepted = file >= 0 ? read_message(file, entry, payload) : std::nullopt;
     if (!accepted) {
-      findings_.lines.push_back("message " + entry.id +
-                                " could be read at first and not again: it cannot be resumed");
+      recovery_report_.log_lines.push_back("message " + entry.id +
+                                           " could be read at first and not again: it cannot be resumed");
       continue;
     }
-    Recovered out;
+    RecoveredMessage out;
     out.message = std::move(accepted->message);
     out.due = accepted->due;
     for (const Attempt& t : entry.attempts) {
       out.attempts = std::max(out.attempts, t.number + 1);
-      if (!t.never_ran) out.unsettled[t.number] = {t.sent, t.zone};
+      if (!t.not_executed) out.maybe_executed[t.number] = {t.sent, t.zone};
     }
-    out.owed = accepted->owed;
+    out.pending_notice = accepted->pending_notice;
     each(std::move(out));
   }
   if (file >= 0) files_.close(file);
 }
 
-std::map<std::string, std::string> Journal::remembered() const {
+std::map<std::string, std::string> Journal::metadata() const {
   std::map<std::string, std::string> out;
-  for (const auto& [name, fact] : facts_) {
+  for (const auto& [name, fact] : metadata_) {
     if (!fact.value.empty()) out[name] = fact.value;
   }
   return out;
@@ -389,183 +398,186 @@
 
 // ---- The index ----
 
-Journal::Entry* Journal::find(const std::string& id, uint64_t& order) {
-  const auto it = orders_.find(id);
-  if (it == orders_.end()) return nullptr;
+Journal::IndexedMessage* Journal::find_message(const std::string& id, uint64_t& order) {
+  const auto it = sequence_by_id_.find(id);
+  if (it == sequence_by_id_.end()) return nullptr;
   order = it->second;
-  return &entries_.at(order);
+  return &messages_.at(order);
 }
 
-void Journal::place(uint64_t order, Entry& entry, uint64_t segment, size_t at, size_t payload) {
+void Journal::add_to_segment(uint64_t order, IndexedMessage& entry, uint64_t segment, size_t at,
+                             size_t payload) {
   entry.segment = segment;
-  entry.at = at;
-  entry.payload = static_cast<uint32_t>(payload);
+  entry.offset = at;
+  entry.payload_bytes = static_cast<uint32_t>(payload);
   Segment& s = segments_.at(segment);
   s.messages.insert(order);
-  relive(s, s.live + entry.copy);
-  live_bytes_ += entry.copy;
-  touch(order);
+  set_live_bytes(s, s.live_bytes + entry.copy_bytes);
+  live_message_bytes_ += entry.copy_bytes;
+  mark_unsynced(order);
 }
 
-void Journal::unplace(uint64_t order, const Entry& entry) {
+void Journal::remove_from_segment(uint64_t order, const IndexedMessage& entry) {
   Segment& s = segments_.at(entry.segment);
   s.messages.erase(order);
-  s.emptied = written_;
-  relive(s, s.live - entry.copy);
-  live_bytes_ -= entry.copy;
+  s.emptied_position = written_bytes_;
+  set_live_bytes(s, s.live_bytes - entry.copy_bytes);
+  live_message_bytes_ -= entry.copy_bytes;
 }
 
-void Journal::grow(Entry& entry, size_t bytes) {
-  entry.copy += static_cast<uint32_t>(bytes);
+void Journal::grow_copy(IndexedMessage& entry, size_t bytes) {
+  entry.copy_bytes += static_cast<uint32_t>(bytes);
   Segment& s = segments_.at(entry.segment);
-  relive(s, s.live + bytes);
-  live_bytes_ += bytes;
+  set_live_bytes(s, s.live_bytes + bytes);
+  live_message_bytes_ += bytes;
 }
 
-void Journal::touch(uint64_t order) {
-  if (options_.durability == Durability::kGroup) touched_.insert(order);
+void Journal::mark_unsynced(uint64_t order) {
+  if (options_.durability == Durability::kGroupCommit) unsynced_messages_.insert(order);
 }
 
-void Journal::erase(uint64_t order) {
-  const auto it = entries_.find(order);
-  for (auto* set : {&touched_, &covered_, &doubtful_}) set->erase(order);
-  unplace(order, it->second);
-  if (const auto id = orders_.find(it->second.id); id != orders_.end() && id->second == order)
-    orders_.erase(id);
-  entries_.erase(it);
+void Journal::erase_message(uint64_t order) {
+  const auto it = messages_.find(order);
+  for (auto* set : {&unsynced_messages_, &syncing_messages_, &unconfirmed_messages_}) set->erase(order);
+  remove_from_segment(order, it->second);
+  if (const auto id = sequence_by_id_.find(it->second.id); id != sequence_by_id_.end() && id->second == order)
+    sequence_by_id_.erase(id);
+  messages_.erase(it);
 }
 
-size_t Journal::fact_bytes(const std::string& name, const std::string& value) {
-  return value.empty() ? 0 : kFrameBytes + 2 + name.size() + value.size();
+size_t Journal::metadata_record_size(const std::string& name, const std::string& value) {
+  return value.empty() ? 0 : kFrameHeaderBytes + 2 + name.size() + value.size();
 }
 
-void Journal::drop_fact(const std::string& name) {
-  const auto it = facts_.find(name);
-  if (it == facts_.end()) return;
-  const size_t bytes = fact_bytes(name, it->second.value);
+void Journal::unindex_metadata(const std::string& name) {
+  const auto it = metadata_.find(name);
+  if (it == metadata_.end()) return;
+  const size_t bytes = metadata_record_size(name, it->second.value);
   if (const auto s = segments_.find(it->second.segment); s != segments_.end()) {
-    s->second.facts.erase(name);
-    s->second.emptied = written_;
-    relive(s->second, s->second.live - bytes);
+    s->second.metadata.erase(name);
+    s->second.emptied_position = written_bytes_;
+    set_live_bytes(s->second, s->second.live_bytes - bytes);
   }
-  fact_bytes_ -= bytes;
-  facts_.erase(it);
+  metadata_bytes_ -= bytes;
+  metadata_.erase(it);
 }
 
-void Journal::put_fact(const std::string& name, const std::string& value, uint64_t segment) {
-  drop_fact(name);
+void Journal::index_metadata(const std::string& name, const std::string& value, uint64_t segment) {
+  unindex_metadata(name);
   if (value.empty())
     return;  // the record that says so stands behind all that say otherwise, and goes after them
-  facts_[name] = {value, segment};
-  const size_t bytes = fact_bytes(name, value);
+  metadata_[name] = {value, segment};
+  const size_t bytes = metadata_record_size(name, value);
   Segment& s = segments_.at(segment);
-  s.facts.insert(name);
-  relive(s, s.live + bytes);
-  fact_bytes_ += bytes;
+  s.metadata.insert(name);
+  set_live_bytes(s, s.live_bytes + bytes);
+  metadata_bytes_ += bytes;
 }
 
 // ---- Room ----
 
-size_t Journal::used() const { return aside_ + used_; }
+size_t Journal::used_bytes() const { return other_files_bytes_ + segment_files_bytes_; }
 
 void Journal::add_segment(uint64_t number, Segment segment) {
-  used_ += counted(segment.size);
-  lives_.insert(segment.live);
+  segment_files_bytes_ += block_rounded(segment.size);
+  segment_live_bytes_.insert(segment.live_bytes);
   segments_[number] = std::move(segment);
 }
 
-void Journal::resize(Segment& segment, size_t size) {
-  used_ += counted(size) - counted(segment.size);
+void Journal::set_size(Segment& segment, size_t size) {
+  segment_files_bytes_ += block_rounded(size) - block_rounded(segment.size);
   segment.size = size;
 }
 
-void Journal::relive(Segment& segment, size_t live) {
-  lives_.erase(lives_.find(segment.live));
-  lives_.insert(segment.live = live);
+void Journal::set_live_bytes(Segment& segment, size_t live) {
+  segment_live_bytes_.erase(segment_live_bytes_.find(segment.live_bytes));
+  segment_live_bytes_.insert(segment.live_bytes = live);
 }
 
 // What any segment's copies may take before it goes, kept free at all times: its records, which fit one
 // segment unless it is one record alone, and the ends of the files that they come to stand in.
-size_t Journal::headroom(size_t record) const {
-  const size_t live = lives_.empty() ? 0 : *lives_.rbegin();
-  return std::max({live, record, segment_bytes_}) + 3 * (kHeaderBytes + kBlock);
+size_t Journal::compaction_reserve(size_t record) const {
+  const size_t live = segment_live_bytes_.empty() ? 0 : *segment_live_bytes_.rbegin();
+  return std::max({live, record, segment_bytes_}) + 3 * (kHeaderBytes + kDiskBlockBytes);
 }
 
 // A message is taken on if, once all that is dead has gone, it and whatever may follow for every live one
 // fit.
-bool Journal::room_for(size_t framed) const {
-  const size_t each = kAttemptInCopy * static_cast<size_t>(options_.most_attempts) + 16;
-  const size_t alive = live_bytes_ + fact_bytes_ + framed + each * (entries_.size() + 1);
+bool Journal::has_room_for(size_t framed) const {
+  const size_t each = kEncodedAttemptBytes * static_cast<size_t>(options_.max_attempts) + 16;
+  const size_t alive = live_message_bytes_ + metadata_bytes_ + framed + each * (messages_.size() + 1);
   const size_t segments = 2 * alive / segment_bytes_ + 2;
-  const size_t copies = std::max(headroom(framed), segment_bytes_ + framed);
-  return aside_ + alive + segments * (kHeaderBytes + kBlock) + copies + segment_bytes_ <= options_.disk;
+  const size_t copies = std::max(compaction_reserve(framed), segment_bytes_ + framed);
+  return other_files_bytes_ + alive + segments * (kHeaderBytes + kDiskBlockBytes) + copies + segment_bytes_ <=
+         options_.max_disk_bytes;
 }
 
 void Journal::close_segment() {
-  if (file_ >= 0 && options_.durability == Durability::kGroup) {
-    closing_.push_back(file_);
-  } else if (file_ >= 0) {
-    files_.close(file_);
+  if (open_file_ >= 0 && options_.durability == Durability::kGroupCommit) {
+    files_to_close_.push_back(open_file_);
+  } else if (open_file_ >= 0) {
+    files_.close(open_file_);
   }
-  file_ = -1;
+  open_file_ = -1;
 }
 
 bool Journal::open_segment() {
   Segment segment;
-  Header header;
-  header.number = last_number_ + 1;
-  header.salt = segment.salt = ++next_salt_ * 0x9e3779b97f4a7c15;
+  SegmentHeader header;
+  header.segment_number = last_segment_ + 1;
+  header.salt = segment.salt = ++salt_counter_ * 0x9e3779b97f4a7c15;
   header.owner = options_.owner;
-  segment.name = name_of(header.number);
-  file_ = files_.create(segment.name);
-  if (file_ < 0) return false;
+  segment.name = name_of(header.segment_number);
+  open_file_ = files_.create(segment.name);
+  if (open_file_ < 0) return false;
   folder_dirty_ = true;
-  if (!append_all(files_, file_, encode(header))) {
-    files_.close(std::exchange(file_, -1));
+  if (!append_all(files_, open_file_, encode(header))) {
+    files_.close(std::exchange(open_file_, -1));
     files_.remove(segment.name);
     return false;
   }
   segment.size = kHeaderBytes;
-  add_segment(++last_number_, std::move(segment));
+  add_segment(++last_segment_, std::move(segment));
   return true;
 }
 
 // Makes sure that this many bytes can be appended without the folder passing its limit, and that what
 // compaction needs stays free behind them.
 bool Journal::make_room(size_t bytes) {
-  const size_t needed = bytes + kHeaderBytes + 2 * kBlock;
-  for (size_t turns = 2 * segments_.size() + 2; used() + needed + headroom(bytes) > options_.disk; --turns) {
-    if (turns == 0 || !drop_oldest()) return false;
+  const size_t needed = bytes + kHeaderBytes + 2 * kDiskBlockBytes;
+  for (size_t turns = 2 * segments_.size() + 2;
+       used_bytes() + needed + compaction_reserve(bytes) > options_.max_disk_bytes; --turns) {
+    if (turns == 0 || !remove_oldest_segment()) return false;
   }
   return true;
 }
 
-bool Journal::append(Kind kind, std::string_view payload, uint64_t* segment, size_t* at, bool copying) {
-  const size_t bytes = kFrameBytes + payload.size();
+bool Journal::append(RecordKind kind, std::string_view payload, uint64_t* segment, size_t* at, bool copying) {
+  const size_t bytes = kFrameHeaderBytes + payload.size();
   if (!copying && !make_room(bytes)) return false;
-  if (file_ >= 0) {
-    const Segment& last = segments_.at(last_number_);
+  if (open_file_ >= 0) {
+    const Segment& last = segments_.at(last_segment_);
     if (last.size > kHeaderBytes && last.size + bytes > segment_bytes_) close_segment();
   }
   // Whatever was reckoned: not a byte over the limit.
-  const size_t held = file_ >= 0 ? segments_.at(last_number_).size : 0;
+  const size_t held = open_file_ >= 0 ? segments_.at(last_segment_).size : 0;
   const size_t after = std::max(held, kHeaderBytes) + bytes;
-  if (used() - counted(held) + counted(after) > options_.disk) return false;
-  if (file_ < 0 && !open_segment()) return false;
-  Segment& last = segments_.at(last_number_);
-  if (!append_all(files_, file_, frame(last.salt, kind, payload))) {
+  if (used_bytes() - block_rounded(held) + block_rounded(after) > options_.max_disk_bytes) return false;
+  if (open_file_ < 0 && !open_segment()) return false;
+  Segment& last = segments_.at(last_segment_);
+  if (!append_all(files_, open_file_, frame_record(last.salt, kind, payload))) {
     // Part of a record costs the next start a scan, and a whole one would be believed: what was not claimed
     // goes.
-    if (!files_.truncate(file_, last.size)) {
-      resize(last, static_cast<size_t>(std::max<ssize_t>(0, files_.size(file_))));
+    if (!files_.truncate(open_file_, last.size)) {
+      set_size(last, static_cast<size_t>(std::max<ssize_t>(0, files_.size(open_file_))));
       close_segment();
     }
     return false;
   }
-  if (segment != nullptr) *segment = last_number_;
+  if (segment != nullptr) *segment = last_segment_;
   if (at != nullptr) *at = last.size;
-  resize(last, last.size + bytes);
-  written_ += bytes;
+  set_size(last, last.size + bytes);
+  written_bytes_ += bytes;
   return true;
 }
 
@@ -577,272 +589,284 @@
   const int file = from.messages.empty() ? -1 : files_.open(from.name);
   while (copied < most && !from.messages.empty()) {
     const uint64_t order = *from.messages.begin();
-    Entry& entry = entries_.at(order);
+    IndexedMessage& entry = messages_.at(order);
     const auto accepted = file >= 0 ? read_message(file, entry, payload) : std::nullopt;
     const std::string copy = accepted ? encode(*accepted) : "";
     uint64_t segment = 0;
     size_t at = 0;
     // What cannot be read now stays where it is, and may be another time.
-    if (!accepted || !append(Kind::kAccepted, copy, &segment, &at, true)) break;
-    unplace(order, entry);
-    place(order, entry, segment, at, copy.size());
+    if (!accepted || !append(RecordKind::kAccepted, copy, &segment, &at, true)) break;
+    remove_from_segment(order, entry);
+    add_to_segment(order, entry, segment, at, copy.size());
     copied += copy.size();
   }
   if (file >= 0) files_.close(file);
   if (!from.messages.empty() && copied < most) return false;
-  while (copied < most && !from.facts.empty()) {
-    const std::string name = *from.facts.begin();
-    const std::string value = facts_.at(name).value;
+  while (copied < most && !from.metadata.empty()) {
+    const std::string name = *from.metadata.begin();
+    const std::string value = metadata_.at(name).value;
     uint64_t segment = 0;
-    if (!append(Kind::kFact, encode_fact(name, value), &segment, nullptr, true)) return false;
-    put_fact(name, value, segment);
+    if (!append(RecordKind::kMetadata, encode_metadata(name, value), &segment, nullptr, true)) return false;
+    index_metadata(name, value, segment);
     copied += name.size() + value.size();
   }
-  copied_ += copied;
+  copied_bytes_ += copied;
   return true;
 }
 
 // Whole: what is alive is copied, then the segment goes.
-bool Journal::drop_oldest() {
+bool Journal::remove_oldest_segment() {
   if (segments_.empty()) return false;
   const uint64_t oldest = segments_.begin()->first;
-  if (oldest == last_number_) close_segment();  // its copies belong behind it
+  if (oldest == last_segment_) close_segment();  // its copies belong behind it
   if (!copy_forward(oldest, static_cast<size_t>(-1))) return false;
   Segment& segment = segments_.at(oldest);
-  if (!segment.messages.empty() || !segment.facts.empty()) return false;
+  if (!segment.messages.empty() || !segment.metadata.empty()) return false;
   // Its copies must be on the disk before it goes; and the one before it must have gone for good, or it might
   // come back without the ends that stood in this one.
-  if (options_.durability == Durability::kGroup && (removed_ || !durable(segment.emptied)) && !sync_now()) {
+  if (options_.durability == Durability::kGroupCommit &&
+      (removal_unsynced_ || !is_durable(segment.emptied_position)) && !sync_now()) {
     return false;
   }
   if (!files_.remove(segment.name)) return false;
-  folder_dirty_ = removed_ = true;
-  used_ -= counted(segment.size);
-  lives_.erase(lives_.find(segment.live));
+  folder_dirty_ = removal_unsynced_ = true;
+  segment_files_bytes_ -= block_rounded(segment.size);
+  segment_live_bytes_.erase(segment_live_bytes_.find(segment.live_bytes));
   segments_.erase(oldest);
   return true;
 }
 
-bool Journal::tidy(size_t bytes) {
-  if (!ends_.empty() || !stale_facts_.empty()) write_pending();
+bool Journal::compact(size_t bytes) {
+  if (!unwritten_done_.empty() || !unwritten_metadata_.empty()) write_backlog();
   if (segments_.size() < 2) return false;
   const auto& [number, oldest] = *segments_.begin();
-  const double share = static_cast<double>(used()) / static_cast<double>(std::max<size_t>(1, options_.disk));
-  const bool dead = oldest.messages.empty() && oldest.facts.empty();
-  const bool pressed = used() + headroom() + 2 * segment_bytes_ > options_.disk;
-  const bool worth = share > kTidyAbove &&
-                     (2 * oldest.live < oldest.size || (pressed && 10 * oldest.live < 9 * oldest.size));
+  const double share =
+      static_cast<double>(used_bytes()) / static_cast<double>(std::max<size_t>(1, options_.max_disk_bytes));
+  const bool dead = oldest.messages.empty() && oldest.metadata.empty();
+  const bool pressed = used_bytes() + compaction_reserve() + 2 * segment_bytes_ > options_.max_disk_bytes;
+  const bool worth = share > kCompactionThreshold && (2 * oldest.live_bytes < oldest.size ||
+                                                      (pressed && 10 * oldest.live_bytes < 9 * oldest.size));
   if (!dead && !worth) return false;
   // With power loss in mind it goes once its copies are safe: a later turn may find that they are.
-  if (dead && (!durable(oldest.emptied) || (removed_ && options_.durability == Durability::kGroup)))
+  if (dead && (!is_durable(oldest.emptied_position) ||
+               (removal_unsynced_ && options_.durability == Durability::kGroupCommit)))
     return false;
   if (!dead) {
-    if (used() + oldest.live + headroom() > options_.disk) return false;  // the next append does what it must
+    if (used_bytes() + oldest.live_bytes + compaction_reserve() > options_.max_disk_bytes)
+      return false;  // the next append does what it must
     if (!copy_forward(number, bytes)) return false;
   }
   const Segment& first = segments_.begin()->second;
-  if (!first.messages.empty() || !first.facts.empty()) return true;
-  return options_.durability == Durability::kGroup && !dead ? true : drop_oldest();
+  if (!first.messages.empty() || !first.metadata.empty()) return true;
+  return options_.durability == Durability::kGroupCommit && !dead ? true : remove_oldest_segment();
 }
 
 // ---- Power loss ----
 
-bool Journal::sync_wanted() const {
-  return options_.durability == Durability::kGroup && !syncing_ &&
-         (synced_ < written_ || removed_ || !doubtful_.empty());
-}
-
-Journal::Sync Journal::begin_sync() {
-  rewrite_doubtful();
-  Sync out;
-  out.upto = written_;
-  out.files = closing_;
-  out.full = closing_.size();
-  if (file_ >= 0) out.files.push_back(file_);
-  out.folder = std::exchange(folder_dirty_, false);
-  out.whole = doubtful_.empty() && doubtful_ends_.empty();
-  syncing_ = true;
-  covered_.swap(touched_);
-  covered_ends_.swap(touched_ends_);
+bool Journal::needs_sync() const {
+  return options_.durability == Durability::kGroupCommit && !sync_running_ &&
+         (synced_position_ < written_bytes_ || removal_unsynced_ || !unconfirmed_messages_.empty());
+}
+
+Journal::SyncRequest Journal::begin_sync() {
+  rewrite_unconfirmed();
+  SyncRequest out;
+  out.end_position = written_bytes_;
+  out.files = files_to_close_;
+  out.full_segments = files_to_close_.size();
+  if (open_file_ >= 0) out.files.push_back(open_file_);
+  out.sync_folder = std::exchange(folder_dirty_, false);
+  out.covers_everything = unconfirmed_messages_.empty() && unconfirmed_done_.empty();
+  sync_running_ = true;
+  syncing_messages_.swap(unsynced_messages_);
+  syncing_done_.swap(unsynced_done_);
   return out;
 }
 
-bool Journal::carry_out(Files& files, const Sync& sync) {
+bool Journal::execute_sync(Files& files, const SyncRequest& sync) {
   bool good = true;
   for (const int file : sync.files) good = files.sync(file) && good;
-  return (!sync.folder || files.sync_folder()) && good;
+  return (!sync.sync_folder || files.sync_folder()) && good;
 }
 
-void Journal::end_sync(const Sync& sync, bool good) {
-  syncing_ = false;
-  for (size_t i = 0; i < sync.full; ++i) files_.close(sync.files[i]);
-  closing_.erase(closing_.begin(), closing_.begin() + static_cast<std::ptrdiff_t>(sync.full));
+void Journal::end_sync(const SyncRequest& sync, bool good) {
+  sync_running_ = false;
+  for (size_t i = 0; i < sync.full_segments; ++i) files_.close(sync.files[i]);
+  files_to_close_.erase(files_to_close_.begin(),
+                        files_to_close_.begin() + static_cast<std::ptrdiff_t>(sync.full_segments));
   if (good) {
-    if (sync.whole) synced_ = sync.upto;
-    if (sync.folder && !folder_dirty_) removed_ = false;
-    covered_.clear();
-    covered_ends_.clear();
+    if (sync.covers_everything) synced_position_ = sync.end_position;
+    if (sync.sync_folder && !folder_dirty_) removal_unsynced_ = false;
+    syncing_messages_.clear();
+    syncing_done_.clear();
     return;
   }
   // What a failed sync leaves in the files is not known, and another on them may succeed without having
   // written it: all that is in doubt is written anew, to another segment, before anything more is claimed.
   folder_dirty_ = true;
-  if (file_ >= 0) files_.close(std::exchange(file_, -1));
-  doubtful_.insert(covered_.begin(), covered_.end());
-  doubtful_.insert(touched_.begin(), touched_.end());
-  covered_.clear();
-  touched_.clear();
-  for (auto* ends : {&covered_ends_, &touched_ends_})
-    doubtful_ends_.insert(doubtful_ends_.end(), ends->begin(), ends->end()), ends->clear();
+  if (open_file_ >= 0) files_.close(std::exchange(open_file_, -1));
+  unconfirmed_messages_.insert(syncing_messages_.begin(), syncing_messages_.end());
+  unconfirmed_messages_.insert(unsynced_messages_.begin(), unsynced_messages_.end());
+  syncing_messages_.clear();
+  unsynced_messages_.clear();
+  for (auto* ends : {&syncing_done_, &unsynced_done_})
+    unconfirmed_done_.insert(unconfirmed_done_.end(), ends->begin(), ends->end()), ends->clear();
 }
 
-void Journal::rewrite_doubtful() {
+void Journal::rewrite_unconfirmed() {
   // Within an append, perhaps: nothing here may make room.
-  const auto room_for_copy = [&](size_t bytes) { return used() + 2 * bytes + headroom() <= options_.disk; };
-  while (!doubtful_ends_.empty()) {
-    const uint64_t order = doubtful_ends_.back();
-    if (!room_for_copy(kBlock) || !append(Kind::kDone, encode_done(order), nullptr, nullptr, true)) return;
-    touched_ends_.push_back(order);
-    doubtful_ends_.pop_back();
+  const auto room_for_copy = [&](size_t bytes) {
+    return used_bytes() + 2 * bytes + compaction_reserve() <= options_.max_disk_bytes;
+  };
+  while (!unconfirmed_done_.empty()) {
+    const uint64_t order = unconfirmed_done_.back();
+    if (!room_for_copy(kDiskBlockBytes) ||
+        !append(RecordKind::kDone, encode_done(order), nullptr, nullptr, true))
+      return;
+    unsynced_done_.push_back(order);
+    unconfirmed_done_.pop_back();
   }
   std::string payload;
-  while (!doubtful_.empty()) {
-    const uint64_t order = *doubtful_.begin();
-    Entry& entry = entries_.at(order);
+  while (!unconfirmed_messages_.empty()) {
+    const uint64_t order = *unconfirmed_messages_.begin();
+    IndexedMessage& entry = messages_.at(order);
     const int file = files_.open(segments_.at(entry.segment).name);
     const auto accepted = file >= 0 ? read_message(file, entry, payload) : std::nullopt;
     if (file >= 0) files_.close(file);
     const std::string copy = accepted ? encode(*accepted) : "";
     uint64_t segment = 0;
     size_t at = 0;
-    if (!accepted || !room_for_copy(copy.size()) || !append(Kind::kAccepted, copy, &segment, &at, true)) {
+    if (!accepted || !room_for_copy(copy.size()) ||
+        !append(RecordKind::kAccepted, copy, &segment, &at, true)) {
       return;  // another time: until then nothing is claimed
     }
-    unplace(order, entry);
-    place(order, entry, segment, at, copy.size());
-    doubtful_.erase(order);
+    remove_from_segment(order, entry);
+    add_to_segment(order, entry, segment, at, copy.size());
+    unconfirmed_messages_.erase(order);
   }
 }
 
 // In this very turn, for want of room. Not beside another: whether that one failed would not be known.
 bool Journal::sync_now() {
-  if (syncing_) return false;
-  const Sync sync = begin_sync();
-  const bool good = carry_out(files_, sync);
+  if (sync_running_) return false;
+  const SyncRequest sync = begin_sync();
+  const bool good = execute_sync(files_, sync);
   end_sync(sync, good);
-  return good && sync.whole;
+  return good && sync.covers_everything;
 }
 
-bool Journal::write_pending() {
-  while (!ends_.empty()) {
-    const uint64_t order = ends_.front();
-    ends_.pop_front();
-    if (!append(Kind::kDone, encode_done(order))) {
-      ends_.push_front(order);
+bool Journal::write_backlog() {
+  while (!unwritten_done_.empty()) {
+    const uint64_t order = unwritten_done_.front();
+    unwritten_done_.pop_front();
+    if (!append(RecordKind::kDone, encode_done(order))) {
+      unwritten_done_.push_front(order);
       return false;
     }
-    if (options_.durability == Durability::kGroup) touched_ends_.push_back(order);
+    if (options_.durability == Durability::kGroupCommit) unsynced_done_.push_back(order);
   }
-  while (!stale_facts_.empty()) {
-    const std::string name = *stale_facts_.begin();
-    const auto it = facts_.find(name);
+  while (!unwritten_metadata_.empty()) {
+    const std::string name = *unwritten_metadata_.begin();
+    const auto it = metadata_.find(name);
     uint64_t segment = 0;
-    if (!append(Kind::kFact, encode_fact(name, it == facts_.end() ? "" : it->second.value), &segment))
+    if (!append(RecordKind::kMetadata, encode_metadata(name, it == metadata_.end() ? "" : it->second.value),
+                &segment))
       return false;
-    if (it != facts_.end()) put_fact(name, std::string(it->second.value), segment);
-    stale_facts_.erase(stale_facts_.begin());
+    if (it != metadata_.end()) index_metadata(name, std::string(it->second.value), segment);
+    unwritten_metadata_.erase(unwritten_metadata_.begin());
   }
   return true;
 }
 
 // ---- What happens to messages ----
 
-bool Journal::accepted(const Submission& m, Time due) {
-  if (!ends_.empty() && !write_pending()) return false;
-  if (orders_.contains(m.id)) return false;
-  Accepted out;
-  out.order = last_order_ + 1;
+bool Journal::record_accepted(const Submission& m, Micros due) {
+  if (!unwritten_done_.empty() && !write_backlog()) return false;
+  if (sequence_by_id_.contains(m.id)) return false;
+  AcceptedMessage out;
+  out.sequence = last_sequence_ + 1;
   out.due = due;
   out.message = m;
   const std::string payload = encode(out);
-  if (payload.size() > kMostRecord || !room_for(kFrameBytes + payload.size())) return false;
-  Entry entry;
+  if (payload.size() > kMaxPayloadBytes || !has_room_for(kFrameHeaderBytes + payload.size())) return false;
+  IndexedMessage entry;
   size_t at = 0;
   uint64_t segment = 0;
-  ++last_order_;
-  if (!append(Kind::kAccepted, payload, &segment, &at)) {
-    if (file_ < 0)
-      ends_.push_back(out.order);  // it could not be cut off: it may be there, whole, and is not ours
+  ++last_sequence_;
+  if (!append(RecordKind::kAccepted, payload, &segment, &at)) {
+    if (open_file_ < 0)
+      unwritten_done_.push_back(
+          out.sequence);  // it could not be cut off: it may be there, whole, and is not ours
     return false;
   }
   entry.id = m.id;
-  entry.copy = static_cast<uint32_t>(kFrameBytes + payload.size());
-  orders_[m.id] = out.order;
-  Entry& kept = entries_[out.order] = std::move(entry);
-  place(out.order, kept, segment, at, payload.size());
+  entry.copy_bytes = static_cast<uint32_t>(kFrameHeaderBytes + payload.size());
+  sequence_by_id_[m.id] = out.sequence;
+  IndexedMessage& kept = messages_[out.sequence] = std::move(entry);
+  add_to_segment(out.sequence, kept, segment, at, payload.size());
   return true;
 }
 
-bool Journal::attempt(const std::string& id, int number, Time sent, int zone) {
+bool Journal::record_attempt(const std::string& id, int number, Micros sent, int zone) {
   uint64_t order = 0;
-  Entry* entry = find(id, order);
-  if (entry == nullptr || !append(Kind::kAttempt, encode_attempt(order, {number, sent, zone, false})))
+  IndexedMessage* entry = find_message(id, order);
+  if (entry == nullptr || !append(RecordKind::kAttempt, encode_attempt(order, {number, sent, zone, false})))
     return false;
   entry->attempts.push_back({number, sent, zone, false});
-  grow(*entry, kAttemptInCopy);
-  touch(order);
+  grow_copy(*entry, kEncodedAttemptBytes);
+  mark_unsynced(order);
   return true;
 }
 
-void Journal::never_ran(const std::string& id, int number) {
+void Journal::record_not_executed(const std::string& id, int number) {
   uint64_t order = 0;
-  Entry* entry = find(id, order);
+  IndexedMessage* entry = find_message(id, order);
   if (entry == nullptr) return;
   for (Attempt& t : entry->attempts) {
-    if (t.number == number) t.never_ran = true;  // a copy says so, also if the record is not written
+    if (t.number == number) t.not_executed = true;  // a copy says so, also if the record is not written
   }
-  append(Kind::kNeverRan, encode_never_ran(order, number));
-  touch(order);
+  append(RecordKind::kNotExecuted, encode_not_executed(order, number));
+  mark_unsynced(order);
 }
 
-bool Journal::owed(const Notice& notice) {
+bool Journal::record_notice(const Notice& notice) {
   uint64_t order = 0;
-  Entry* entry = find(notice.id, order);
+  IndexedMessage* entry = find_message(notice.id, order);
   if (entry == nullptr) return true;  // it was over before
-  if (!append(Kind::kOwed, encode_owed(order, notice.returned, notice.retry_after))) return false;
-  entry->owed = Owed{notice.returned, notice.retry_after};
-  touch(order);
+  if (!append(RecordKind::kNotice, encode_notice(order, notice.returned, notice.retry_after))) return false;
+  entry->pending_notice = NoticeRecord{notice.returned, notice.retry_after};
+  mark_unsynced(order);
   return true;
 }
 
-void Journal::done(const std::string& id) {
+void Journal::record_done(const std::string& id) {
   uint64_t order = 0;
-  if (find(id, order) == nullptr) return;
-  erase(order);
-  ends_.push_back(order);
-  write_pending();
-}
-
-bool Journal::remember(const std::string& name, const std::string& value) {
-  const auto old = facts_.find(name);
-  if (value == (old == facts_.end() ? "" : old->second.value)) return true;
-  const size_t before = old == facts_.end() ? 0 : fact_bytes(name, old->second.value);
-  const size_t bytes = fact_bytes(name, value);
-  if (bytes > before &&
-      static_cast<double>(fact_bytes_ - before + bytes) > kFactsPart * static_cast<double>(options_.disk)) {
+  if (find_message(id, order) == nullptr) return;
+  erase_message(order);
+  unwritten_done_.push_back(order);
+  write_backlog();
+}
+
+bool Journal::put_metadata(const std::string& name, const std::string& value) {
+  const auto old = metadata_.find(name);
+  if (value == (old == metadata_.end() ? "" : old->second.value)) return true;
+  const size_t before = old == metadata_.end() ? 0 : metadata_record_size(name, old->second.value);
+  const size_t bytes = metadata_record_size(name, value);
+  if (bytes > before && static_cast<double>(metadata_bytes_ - before + bytes) >
+                            kMaxMetadataFraction * static_cast<double>(options_.max_disk_bytes)) {
     return false;
   }
   uint64_t segment = 0;
-  if (append(Kind::kFact, encode_fact(name, value), &segment)) {
-    put_fact(name, value, segment);
-    stale_facts_.erase(name);
+  if (append(RecordKind::kMetadata, encode_metadata(name, value), &segment)) {
+    index_metadata(name, value, segment);
+    unwritten_metadata_.erase(name);
     return true;
   }
   // The newest value is kept in mind and written when it can be. Without a segment there is nowhere to count
   // it.
   if (!segments_.empty()) {
-    put_fact(name, value, segments_.rbegin()->first);
-    stale_facts_.insert(name);
+    index_metadata(name, value, segments_.rbegin()->first);
+    unwritten_metadata_.insert(name);
   }
   return false;
 }
--- a/state/legacy.cpp
+++ b/state/legacy.cpp
@@ -27,48 +27,48 @@
   return checksum(payload) == head[1] ? std::optional(payload) : std::nullopt;
 }
 
-void apply(std::string_view payload, Legacy& out, std::map<std::string, size_t>& places) {
-  Reader in(payload);
-  const char kind = in.number<char>();
-  const std::string id = in.text<int64_t>();
-  if (!in.good()) return;
+void apply(std::string_view payload, LegacyJournal& out, std::map<std::string, size_t>& places) {
+  ByteReader in(payload);
+  const char kind = in.read_number<char>();
+  const std::string id = in.read_string<int64_t>();
+  if (!in.ok()) return;
   if (kind == 'F') {
-    std::string value = in.text<int64_t>();
+    std::string value = in.read_string<int64_t>();
     if (value.empty()) {
-      out.facts.erase(id);
+      out.metadata.erase(id);
     } else {
-      out.facts[id] = std::move(value);
+      out.metadata[id] = std::move(value);
     }
     return;
   }
   if (kind == 'A') {
-    Accepted a;
+    AcceptedMessage a;
     a.message.id = id;
-    a.message.message_class = in.text<int64_t>();
-    a.message.key = in.text<int64_t>();
-    a.message.destination = static_cast<int>(in.number<int64_t>());
-    a.due = in.number<int64_t>();
-    a.message.body = in.text<int64_t>();
-    if (!in.good()) return;
+    a.message.message_class = in.read_string<int64_t>();
+    a.message.key = in.read_string<int64_t>();
+    a.message.destination = static_cast<int>(in.read_number<int64_t>());
+    a.due = in.read_number<int64_t>();
+    a.message.body = in.read_string<int64_t>();
+    if (!in.ok()) return;
     places[id] = out.messages.size();
     out.messages.push_back(std::move(a));
     return;
   }
   const auto place = places.find(id);
   if (place == places.end()) return;
-  Accepted& a = out.messages[place->second];
+  AcceptedMessage& a = out.messages[place->second];
   if (kind == 'T') {
     Attempt t;
-    t.number = static_cast<int>(in.number<int64_t>());
-    t.sent = in.number<int64_t>();
-    t.zone = static_cast<int>(in.number<int64_t>());
+    t.number = static_cast<int>(in.read_number<int64_t>());
+    t.sent = in.read_number<int64_t>();
+    t.zone = static_cast<int>(in.read_number<int64_t>());
     a.attempts.push_back(t);
   } else if (kind == 'N') {
-    const auto number = in.number<int64_t>();
-    for (Attempt& t : a.attempts) t.never_ran |= t.number == number;
+    const auto number = in.read_number<int64_t>();
+    for (Attempt& t : a.attempts) t.not_executed |= t.number == number;
   } else if (kind == 'O') {
-    const bool returned = in.number<int64_t>() != 0;
-    a.owed = Notice{id, returned, in.number<int64_t>()};
+    const bool returned = in.read_number<int64_t>() != 0;
+    a.pending_notice = Notice{id, returned, in.read_number<int64_t>()};
   } else if (kind == 'D') {
     places.erase(place);
   }
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-std::optional<Legacy> read_legacy(Files& files, const std::string& name) {
+std::optional<LegacyJournal> read_legacy_journal(Files& files, const std::string& name) {
   const int file = files.open(name);
   if (file < 0) return {};
   std::string bytes(static_cast<size_t>(std::max<ssize_t>(0, files.size(file))), '\0');
@@ -88,7 +88,7 @@
   }
   files.close(file);
   bytes.resize(got);
-  Legacy out;
+  LegacyJournal out;
   std::map<std::string, size_t> places;
   for (size_t at = 0; at < bytes.size();) {
     if (const auto payload = whole(bytes, at)) {
@@ -101,14 +101,14 @@
     do {
       ++at;
     } while (at < bytes.size() && !whole(bytes, at));
-    if (at < bytes.size()) out.damaged += at - from;
+    if (at < bytes.size()) out.damaged_bytes += at - from;
   }
-  std::vector<Accepted> left;
+  std::vector<AcceptedMessage> left;
   for (size_t i = 0; i < out.messages.size(); ++i) {
     const auto place = places.find(out.messages[i].message.id);
     if (place == places.end() || place->second != i) continue;
     left.push_back(std::move(out.messages[i]));
-    left.back().order = left.size();
+    left.back().sequence = left.size();
   }
   out.messages = std::move(left);
   return out;
--- a/state/toml.h
+++ b/state/toml.h
@@ -26,7 +26,7 @@
 }
 
 // Names that are compared, printed and written into files again.
-inline bool plain(std::string_view name) {
+inline bool is_printable_ascii(std::string_view name) {
   return std::all_of(name.begin(), name.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
--- a/tests/ctl/journal_test.cpp
+++ b/tests/ctl/journal_test.cpp
@@ -22,7 +22,7 @@
   CtlJournal() {
     std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-test-XXXXXX";
     folder_ = ::mkdtemp(pattern.data());
-    const auto files = real_files(folder_);
+    const auto files = make_posix_files(folder_);
     Journal journal(*files, {1'000'000, "n0", 6, 1});
     for (const std::string id : {"a", "b", "c"}) {
       Submission m;
@@ -32,14 +32,14 @@
       m.tenant = "daily";
       m.destination = 7;
       m.body = "body \xff of " + id;
-      EXPECT_TRUE(journal.accepted(m, 1000));
+      EXPECT_TRUE(journal.record_accepted(m, 1000));
     }
-    EXPECT_TRUE(journal.attempt("a", 0, 55, 1));
-    EXPECT_TRUE(journal.attempt("a", 1, 66, 1));
-    journal.never_ran("a", 1);
-    EXPECT_TRUE(journal.owed({"b", true, 500'000}));
-    journal.done("c");
-    EXPECT_TRUE(journal.remember("revision", "41"));
+    EXPECT_TRUE(journal.record_attempt("a", 0, 55, 1));
+    EXPECT_TRUE(journal.record_attempt("a", 1, 66, 1));
+    journal.record_not_executed("a", 1);
+    EXPECT_TRUE(journal.record_notice({"b", true, 500'000}));
+    journal.record_done("c");
+    EXPECT_TRUE(journal.put_metadata("revision", "41"));
   }
   ~CtlJournal() override { std::filesystem::remove_all(folder_); }
 
@@ -61,7 +61,7 @@
     EXPECT_EQ(contents(), before) << "it must not change the folder";
     return status;
   }
-  std::vector<json> dump(Dump what) {
+  std::vector<json> dump(DumpOptions what) {
     out_.str("");
     what.folder = folder_;
     dump_journal(what, out_, errors_);
@@ -124,7 +124,7 @@
   EXPECT_FALSE(all[0].at("message").contains("body_hex"));
   EXPECT_EQ(all[3].at("attempt").at("sent_us"), 55);
   EXPECT_EQ(all[8].at("value"), "41");
-  Dump one;
+  DumpOptions one;
   one.id = "a";
   one.bodies = true;
   const auto of_a = dump(one);
@@ -132,7 +132,7 @@
   EXPECT_EQ(of_a[0].at("message").at("body_hex"), "626f647920ff206f662061");
   one.segment = 2;  // whose records would name it by its order alone
   EXPECT_TRUE(dump(one).empty());
-  Dump live;
+  DumpOptions live;
   live.live = true;
   const auto left = dump(live);
   ASSERT_EQ(left.size(), 2u);
--- a/tests/durability_test.cpp
+++ b/tests/durability_test.cpp
@@ -63,7 +63,7 @@
     return good;
   }
   bool sync_folder() override { return files_->sync_folder(); }
-  void forget(int file) override { files_->forget(file); }
+  void drop_page_cache(int file) override { files_->drop_page_cache(file); }
 
  private:
   std::unique_ptr<Files> files_;
@@ -80,7 +80,7 @@
     nlohmann::json config = config_json(discovery_.address(),
                                         {member_json("s-1", "127.0.0.1:" + std::to_string(host_.port()), 7)});
     config["durability"] = "group";
-    auto files = std::make_unique<HeldFiles>(umberhoist::state::real_files(folder_));
+    auto files = std::make_unique<HeldFiles>(umberhoist::state::make_posix_files(folder_));
     files_ = files.get();
     std::promise<uint16_t> listening;
     relay_ = std::make_unique<relay::Relay>(
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -101,7 +101,7 @@
   ASSERT_TRUE(relays->comes_back_whole());
   for (uint64_t epoch = 2; epoch <= 3; ++epoch) {
     const auto answer = relays->ask(epoch % 3, Ask::kProposeMap, shards::to_toml(moved_a_little(map(0))));
-    ASSERT_TRUE(answer.done) << answer.text;
+    ASSERT_TRUE(answer.succeeded) << answer.text;
     relays->kill_all();  // the instant after it was said to be done
     relays->start_all();
     ASSERT_TRUE(relays->comes_back_whole(epoch)) << "a promise was forgotten";
@@ -132,7 +132,7 @@
   std::filesystem::copy(relays->register_folder(1), kept);
   relays->start_all();
   ASSERT_TRUE(relays->comes_back_whole());
-  ASSERT_TRUE(relays->ask(0, Ask::kProposeMap, shards::to_toml(moved_a_little(map(0)))).done);
+  ASSERT_TRUE(relays->ask(0, Ask::kProposeMap, shards::to_toml(moved_a_little(map(0)))).succeeded);
   ASSERT_TRUE(relays->comes_back_whole(2));
   relays->kill(1);
   std::filesystem::remove_all(relays->register_folder(1));
@@ -180,11 +180,11 @@
   relays->start_all();
   ASSERT_TRUE(relays->wait_for(1, "newcomer"));
   const auto other = relays->ask(1, Ask::kRestore, "n2");
-  EXPECT_FALSE(other.done) << other.text;
+  EXPECT_FALSE(other.succeeded) << other.text;
   const auto wrong = relays->ask(0, Ask::kRestore, "n3");
-  EXPECT_FALSE(wrong.done) << wrong.text;  // the name is said once more
+  EXPECT_FALSE(wrong.succeeded) << wrong.text;  // the name is said once more
   const auto answer = relays->ask(0, Ask::kRestore, "n1");
-  ASSERT_TRUE(answer.done) << answer.text;
+  ASSERT_TRUE(answer.succeeded) << answer.text;
   ASSERT_TRUE(relays->comes_back_whole());
   EXPECT_TRUE(relays->until([](const auto& all) {
     return std::all_of(all.begin(), all.end(), [](const Status& s) { return s.number("generation") == 2; });
@@ -233,7 +233,7 @@
     for (size_t b = 0; b < 4; ++b) relays->network().set(a, b, rough);
   }
   const auto answer = relays->ask(3, Ask::kProposeMap, shards::to_toml(moved_a_little(map(3))));
-  EXPECT_TRUE(answer.done) << answer.text;
+  EXPECT_TRUE(answer.succeeded) << answer.text;
   relays->network().heal();
   EXPECT_TRUE(relays->comes_back_whole(2));
 }
@@ -258,13 +258,13 @@
   auto other = one;
   other.ranges[0].last -= 7;
   other.ranges[1].first -= 7;
-  ctl::Answer first, second;
+  ctl::FleetReply first, second;
   std::thread operators([&] { first = relays->ask(0, Ask::kProposeMap, shards::to_toml(one)); });
   second = relays->ask(2, Ask::kProposeMap, shards::to_toml(other));
   operators.join();
-  EXPECT_EQ(first.done + second.done, 1) << first.text << "\n" << second.text;
+  EXPECT_EQ(first.succeeded + second.succeeded, 1) << first.text << "\n" << second.text;
   ASSERT_TRUE(relays->comes_back_whole(2));
-  EXPECT_EQ(map(1), first.done ? one : other);
+  EXPECT_EQ(map(1), first.succeeded ? one : other);
 }
 
 std::string window(int64_t from_s, int64_t to_s) {
@@ -279,7 +279,7 @@
 TEST_F(Fleet, InsideAWindowNothingChangesButFactsAndWhatTwoApproversStandFor) {
   begin(4);
   const auto declared = relays->ask(3, Ask::kDeclare, window(-10, 3600));
-  ASSERT_TRUE(declared.done) << declared.text;
+  ASSERT_TRUE(declared.succeeded) << declared.text;
   // Reload by SIGHUP.
   auto config = relays->configuration(2);
   config["settings"]["bounds"]["open_cap"] = 21;
@@ -289,15 +289,15 @@
   // A map.
   const auto next = moved_a_little(map(0));
   const auto refused = relays->ask(1, Ask::kProposeMap, shards::to_toml(next));
-  EXPECT_FALSE(refused.done);
+  EXPECT_FALSE(refused.succeeded);
   EXPECT_NE(refused.text.find("closed by window 'sale' until"), std::string::npos) << refused.text;
   // The calendar itself.
-  EXPECT_FALSE(relays->ask(0, Ask::kDeclare, "approvers = [\"ann\", \"bo\"]\n").done);
+  EXPECT_FALSE(relays->ask(0, Ask::kDeclare, "approvers = [\"ann\", \"bo\"]\n").succeeded);
   // One name is not enough, two are.
-  ASSERT_TRUE(relays->except(0, reg::digest_of(next), "ann", 5).done);
-  EXPECT_FALSE(relays->ask(1, Ask::kProposeMap, shards::to_toml(next)).done);
-  ASSERT_TRUE(relays->except(2, reg::digest_of(next), "bo", 5).done);
-  EXPECT_TRUE(relays->ask(1, Ask::kProposeMap, shards::to_toml(next)).done);
+  ASSERT_TRUE(relays->except(0, reg::digest_of(next), "ann", 5).succeeded);
+  EXPECT_FALSE(relays->ask(1, Ask::kProposeMap, shards::to_toml(next)).succeeded);
+  ASSERT_TRUE(relays->except(2, reg::digest_of(next), "bo", 5).succeeded);
+  EXPECT_TRUE(relays->ask(1, Ask::kProposeMap, shards::to_toml(next)).succeeded);
   ASSERT_TRUE(relays->comes_back_whole(2));
   // A fact: a dead owner's keys are repaired.
   relays->kill(3);
@@ -344,7 +344,7 @@
   ASSERT_TRUE(
       relays->until([](const auto& all) { return all[0].heard && all[0].words.at("leader") == "none"; }));
   const auto refused = relays->ask(0, Ask::kDeclare, window(60, 120));
-  EXPECT_FALSE(refused.done);
+  EXPECT_FALSE(refused.succeeded);
   EXPECT_NE(refused.text.find("changes are closed"), std::string::npos) << refused.text;
   auto client = relays->client(0);
   client.send(
--- a/tests/fleet/forgetful_files.cpp
+++ b/tests/fleet/forgetful_files.cpp
@@ -18,8 +18,8 @@
 
 class ForgetfulFiles : public Files {
  public:
-  ForgetfulFiles(std::filesystem::path folder, bool only_read)
-      : folder_(std::move(folder)), only_read_(only_read) {
+  ForgetfulFiles(std::filesystem::path folder, bool read_only)
+      : folder_(std::move(folder)), read_only_(read_only) {
     const char* seed = std::getenv("UMBERHOIST_POWER_SEED");
     random_.seed(seed == nullptr ? 1 : std::strtoull(seed, nullptr, 10));
   }
@@ -34,7 +34,7 @@
   }
   int create(const std::string& name) override {
     const int file =
-        only_read_ ? -1 : ::open((folder_ / name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+        read_only_ ? -1 : ::open((folder_ / name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     const std::lock_guard lock(mutex_);
     if (file >= 0) open_[file] = {};
     return file;
@@ -48,9 +48,10 @@
     of.pending.append(bytes);
     // The system writes back when it likes: some block of what waits, the others not yet.
     if (random_() % 4 == 0 && !of.pending.empty()) {
-      const size_t block = random_() % ((of.pending.size() + kBlock - 1) / kBlock);
-      const std::string_view some = std::string_view(of.pending).substr(block * kBlock, kBlock);
-      if (::pwrite(file, some.data(), some.size(), static_cast<off_t>(of.safe + block * kBlock)) < 0)
+      const size_t block = random_() % ((of.pending.size() + kDiskBlockBytes - 1) / kDiskBlockBytes);
+      const std::string_view some =
+          std::string_view(of.pending).substr(block * kDiskBlockBytes, kDiskBlockBytes);
+      if (::pwrite(file, some.data(), some.size(), static_cast<off_t>(of.safe + block * kDiskBlockBytes)) < 0)
         return -1;
     }
     return static_cast<ssize_t>(bytes.size());
@@ -86,10 +87,10 @@
     return ::ftruncate(file, static_cast<off_t>(size)) == 0;
   }
   bool rename(const std::string& from, const std::string& to) override {
-    return !only_read_ && ::rename((folder_ / from).c_str(), (folder_ / to).c_str()) == 0;
+    return !read_only_ && ::rename((folder_ / from).c_str(), (folder_ / to).c_str()) == 0;
   }
   bool remove(const std::string& name) override {
-    return !only_read_ && ::unlink((folder_ / name).c_str()) == 0;
+    return !read_only_ && ::unlink((folder_ / name).c_str()) == 0;
   }
   bool sync(int file) override {
     const std::lock_guard lock(mutex_);
@@ -104,7 +105,7 @@
     return true;
   }
   bool sync_folder() override { return true; }
-  void forget(int) override {}
+  void drop_page_cache(int) override {}
   void close(int file) override {
     sync(file);  // whoever opens it again in this process reads what was written
     const std::lock_guard lock(mutex_);
@@ -118,7 +119,7 @@
     std::string pending;
   };
   std::filesystem::path folder_;
-  bool only_read_;
+  bool read_only_;
   std::mutex mutex_;
   std::map<int, Open> open_;
   std::mt19937_64 random_;
@@ -126,9 +127,9 @@
 
 }  // namespace
 
-std::unique_ptr<Files> real_files(const std::filesystem::path& folder, bool only_read) {
+std::unique_ptr<Files> make_posix_files(const std::filesystem::path& folder, bool read_only) {
   if (!std::filesystem::is_directory(folder)) throw std::runtime_error("state folder " + folder.string());
-  return std::make_unique<ForgetfulFiles>(folder, only_read);
+  return std::make_unique<ForgetfulFiles>(folder, read_only);
 }
 
 }  // namespace umberhoist::state
--- a/tests/fleet/processes.cpp
+++ b/tests/fleet/processes.cpp
@@ -189,20 +189,20 @@
 
 std::string Relays::address(size_t i) const { return "127.0.0.1:" + std::to_string(relays_[i]->fleet); }
 
-ctl::Answer Relays::ask(size_t i, Ask::Verb verb, const std::string& text) {
+ctl::FleetReply Relays::ask(size_t i, Ask::Verb verb, const std::string& text) {
   Ask question;
   question.set_verb(verb);
   question.set_text(text);
-  return ctl::ask(address(i), question);
+  return ctl::send_request(address(i), question);
 }
 
-ctl::Answer Relays::except(size_t i, uint64_t digest, const std::string& by, uint32_t minutes) {
+ctl::FleetReply Relays::except(size_t i, uint64_t digest, const std::string& by, uint32_t minutes) {
   Ask question;
   question.set_verb(Ask::kExcept);
   question.set_digest(digest);
   question.set_by(by);
   question.set_minutes(minutes);
-  return ctl::ask(address(i), question);
+  return ctl::send_request(address(i), question);
 }
 
 Status Relays::status(size_t i) {
@@ -210,8 +210,8 @@
   if (!runs(i) || relays_[i]->fleet == 0) return out;
   Ask question;
   question.set_verb(Ask::kStatus);
-  const auto answer = ctl::ask(address(i), question, std::chrono::milliseconds(300));
-  if (!answer.heard) return out;
+  const auto answer = ctl::send_request(address(i), question, std::chrono::milliseconds(300));
+  if (!answer.received) return out;
   out.heard = true;
   std::istringstream in(answer.text);
   for (std::string line; std::getline(in, line);) {
--- a/tests/fleet/processes.h
+++ b/tests/fleet/processes.h
@@ -82,8 +82,8 @@
   Network& network() { return *network_; }
   firspool::testing::Socket client(size_t relay) const;
   Status status(size_t relay);
-  ctl::Answer ask(size_t relay, register_pb::Ask::Verb verb, const std::string& text = "");
-  ctl::Answer except(size_t relay, uint64_t digest, const std::string& by, uint32_t minutes);
+  ctl::FleetReply ask(size_t relay, register_pb::Ask::Verb verb, const std::string& text = "");
+  ctl::FleetReply except(size_t relay, uint64_t digest, const std::string& by, uint32_t minutes);
   std::string address(size_t relay) const;
 
   // True once a relay's log has a line that holds the text, the `times`-th of its kind over all its starts.
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -421,7 +421,7 @@
 // Puts a message into the folder of a relay that is down, as one that it had taken on: its end and its
 // attempts, of which each may have run, in microseconds from now.
 void keep(const std::filesystem::path& state, const std::string& id, Time due, std::vector<Time> attempts) {
-  const auto files = umberhoist::state::real_files(state);
+  const auto files = umberhoist::state::make_posix_files(state);
   umberhoist::state::Journal journal(*files,
                                      {3'000'000, "n0", 6, 0, umberhoist::state::Durability::kProcess});
   relay::Submission message;
@@ -430,9 +430,9 @@
   message.key = "5c0f6e1a2b3d4c59";
   message.destination = 7;
   const Time wall = relay::wall_now();
-  ASSERT_TRUE(journal.accepted(message, wall + due));
+  ASSERT_TRUE(journal.record_accepted(message, wall + due));
   for (size_t i = 0; i < attempts.size(); ++i) {
-    ASSERT_TRUE(journal.attempt(id, static_cast<int>(i), wall + attempts[i], 0));
+    ASSERT_TRUE(journal.record_attempt(id, static_cast<int>(i), wall + attempts[i], 0));
   }
 }
 
@@ -445,7 +445,7 @@
   s.config["settings"]["bounds"]["open_cap"] = kHeld;
   s.program.write_config(s.config.dump());
   {
-    const auto files = umberhoist::state::real_files(s.program.state_folder());
+    const auto files = umberhoist::state::make_posix_files(s.program.state_folder());
     umberhoist::state::Journal journal(*files,
                                        {3'000'000, "n0", 6, 0, umberhoist::state::Durability::kProcess});
     relay::Submission message;
@@ -456,14 +456,14 @@
     const Time due = relay::wall_now() + 60'000'000;
     for (int i = 0; i < kHeld; ++i) {
       message.id = "held-" + std::to_string(i);
-      ASSERT_TRUE(journal.accepted(message, due));
+      ASSERT_TRUE(journal.record_accepted(message, due));
     }
     // What is left of the room is filled with records of messages that are over.
     message.body.assign(200, 'x');
     for (int i = 0; i < 20'000; ++i) {
       message.id = "over-" + std::to_string(i);
-      ASSERT_TRUE(journal.accepted(message, due));
-      journal.done(message.id);
+      ASSERT_TRUE(journal.record_accepted(message, due));
+      journal.record_done(message.id);
     }
   }
   size_t bytes = 0;
--- a/tests/register/storage_test.cpp
+++ b/tests/register/storage_test.cpp
@@ -115,8 +115,8 @@
     for (const int how : {0, 1, 2}) {
       MemoryFiles files;
       files.fail_from = fail;
-      files.fail_partly = how == 1;
-      files.fail_wholly = how == 2;
+      files.fail_after_partial_write = how == 1;
+      files.fail_after_full_write = how == 2;
       Storage storage(files, "n2");
       Promised promised;
       for (size_t i = 0; i < life.steps.size(); ++i) {
--- a/tests/state/journal_test.cpp
+++ b/tests/state/journal_test.cpp
@@ -31,11 +31,11 @@
 // ---- The reference: what was claimed ----
 
 struct Known {
-  Time due = 0;
+  Micros due = 0;
   std::string body, tenant;
-  std::map<int, std::pair<Time, int>> unsettled;
+  std::map<int, std::pair<Micros, int>> unsettled;
   int attempts = 0;
-  std::optional<std::pair<bool, Time>> owed;
+  std::optional<std::pair<bool, Micros>> owed;
   bool operator==(const Known&) const = default;
 };
 
@@ -52,33 +52,33 @@
   }
 };
 
-Model recovered(Files& files, size_t disk, Findings* findings = nullptr) {
+Model recovered(Files& files, size_t disk, RecoveryReport* findings = nullptr) {
   Journal journal(files, options(disk, 99));
   Model out;
-  journal.recover([&](Recovered r) {
-    Known known{r.due, r.message.body, r.message.tenant, r.unsettled, r.attempts, {}};
-    if (r.owed) known.owed = {r.owed->returned, r.owed->retry_after};
+  journal.recover([&](RecoveredMessage r) {
+    Known known{r.due, r.message.body, r.message.tenant, r.maybe_executed, r.attempts, {}};
+    if (r.pending_notice) known.owed = {r.pending_notice->returned, r.pending_notice->retry_after};
     out.messages.emplace_back(r.message.id, std::move(known));
   });
-  out.facts = journal.remembered();
-  if (findings != nullptr) *findings = journal.findings();
+  out.facts = journal.metadata();
+  if (findings != nullptr) *findings = journal.recovery_report();
   return out;
 }
 
 // The same, by the second reader.
 Model inspected(Files& files) {
-  const FolderSeen seen = inspect(files, [](const RecordSeen&) {});
+  const InspectedFolder seen = inspect_folder(files, [](const InspectedRecord&) {});
   Model out;
-  for (const auto& [order, a] : seen.live) {
+  for (const auto& [order, a] : seen.live_messages) {
     Known known{a.due, a.message.body, a.message.tenant, {}, 0, {}};
     for (const Attempt& t : a.attempts) {
       known.attempts = std::max(known.attempts, t.number + 1);
-      if (!t.never_ran) known.unsettled[t.number] = {t.sent, t.zone};
+      if (!t.not_executed) known.unsettled[t.number] = {t.sent, t.zone};
     }
-    if (a.owed) known.owed = {a.owed->returned, a.owed->retry_after};
+    if (a.pending_notice) known.owed = {a.pending_notice->returned, a.pending_notice->retry_after};
     out.messages.emplace_back(a.message.id, std::move(known));
   }
-  out.facts = seen.facts;
+  out.facts = seen.metadata;
   return out;
 }
 
@@ -125,29 +125,29 @@
           below(5) == 0 ? "m" + std::to_string(below(1 + made)) : "m" + std::to_string(made++);
       const Submission handed = message(fresh, below(8) == 0 ? below(3000) : below(200));
       const bool there = model.find(fresh) != nullptr;
-      if (journal->accepted(handed, 1000 + i)) {
+      if (journal->record_accepted(handed, 1000 + i)) {
         EXPECT_FALSE(there);
         model.messages.emplace_back(fresh, Known{1000 + i, handed.body, handed.tenant, {}, 0, {}});
       }
     } else if (what < 50 && known->attempts < 6 && !known->owed) {
-      if (journal->attempt(id, known->attempts, 10 * i, i % 3)) {
+      if (journal->record_attempt(id, known->attempts, 10 * i, i % 3)) {
         known->unsettled[known->attempts] = {10 * i, i % 3};
         ++known->attempts;
       }
     } else if (what < 58 && !known->unsettled.empty()) {
       const int number = known->unsettled.rbegin()->first;
-      journal->never_ran(id, number);
+      journal->record_not_executed(id, number);
       known->unsettled.erase(number);
     } else if (what < 64 && !known->owed) {
-      if (journal->owed({id, i % 2 == 0, i})) known->owed = {i % 2 == 0, i};
+      if (journal->record_notice({id, i % 2 == 0, i})) known->owed = {i % 2 == 0, i};
     } else if (what < 84) {
-      journal->done(id);
+      journal->record_done(id);
       std::erase_if(model.messages, [&](const auto& m) { return m.first == id; });
     } else if (what < 92) {
       const std::string name = "fact" + std::to_string(below(5));
       const std::string value =
           below(4) == 0 ? "" : std::string(1 + below(300), static_cast<char>('a' + below(26)));
-      if (journal->remember(name, value)) {
+      if (journal->put_metadata(name, value)) {
         if (value.empty()) {
           model.facts.erase(name);
         } else {
@@ -155,7 +155,7 @@
         }
       }
     } else if (what < 97) {
-      journal->tidy(200 + below(2000));
+      journal->compact(200 + below(2000));
     } else {
       journal.reset();
       journal = std::make_unique<Journal>(h.files, options(h.disk, seed + i + 1));
@@ -191,7 +191,7 @@
     if (!check(now, 0)) return points;
     if (i == h.files.changes.size()) break;
     const auto& change = h.files.changes[i];
-    if (change.what == MemoryFiles::Change::What::kAppend) {
+    if (change.type == MemoryFiles::Change::Type::kAppend) {
       for (const size_t prefix : prefixes(change.bytes.size())) {
         Contents cut = now;
         MemoryFiles::apply(cut, change, prefix);
@@ -214,7 +214,7 @@
       return all;
     });
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
-    EXPECT_LE(h.files.most, h.disk);
+    EXPECT_LE(h.files.max_used_bytes, h.disk);
   }
   RecordProperty("crash_points", static_cast<int>(points));
   EXPECT_GT(points, 10'000u);
@@ -233,7 +233,7 @@
     // One in five is long enough for the disk to be gone round several times; it is looked at less closely.
     const bool long_one = i % 5 == 0;
     play(h, seed, long_one ? 400 : 30);
-    EXPECT_LE(h.files.most, h.disk) << "seed " << seed;
+    EXPECT_LE(h.files.max_used_bytes, h.disk) << "seed " << seed;
     std::mt19937_64 random(seed);
     if (long_one) {
       MemoryFiles files(h.files.contents());
@@ -260,7 +260,8 @@
   MemoryFiles files;
   {
     Journal journal(files, options(100'000));
-    for (int i = 0; i < 12; ++i) ASSERT_TRUE(journal.accepted(message("m" + std::to_string(i), 40), i));
+    for (int i = 0; i < 12; ++i)
+      ASSERT_TRUE(journal.record_accepted(message("m" + std::to_string(i), 40), i));
   }
   const Contents good = files.contents();
   ASSERT_EQ(good.size(), 1u);
@@ -269,7 +270,7 @@
     Contents bad = good;
     bad[name][at] = static_cast<char>(bad[name][at] ^ (1 << (at % 8)));
     MemoryFiles damaged(bad);
-    Findings findings;
+    RecoveryReport findings;
     const Model found = recovered(damaged, 100'000, &findings);
     const bool header = at < kHeaderBytes;
     ASSERT_EQ(found.messages.size(), header ? 12u : 11u) << at;
@@ -283,32 +284,34 @@
   MemoryFiles files;
   {
     Journal journal(files, options(100'000));
-    for (int i = 0; i < 100; ++i) ASSERT_TRUE(journal.accepted(message("m" + std::to_string(i)), i));
+    for (int i = 0; i < 100; ++i) ASSERT_TRUE(journal.record_accepted(message("m" + std::to_string(i)), i));
   }
   Contents bad = files.contents();
   bad.begin()->second[kHeaderBytes + 4 + 2] ^= 0x40;  // the first record says that it is 4 MB long
   MemoryFiles damaged(bad);
-  Findings findings;
+  RecoveryReport findings;
   EXPECT_EQ(recovered(damaged, 100'000, &findings).messages.size(), 99u);
-  EXPECT_EQ(findings.damages, 1u);
-  ASSERT_EQ(findings.lines.size(), 1u);
-  EXPECT_NE(findings.lines[0].find("bytes at 128 cannot be read"), std::string::npos) << findings.lines[0];
+  EXPECT_EQ(findings.damaged_ranges, 1u);
+  ASSERT_EQ(findings.log_lines.size(), 1u);
+  EXPECT_NE(findings.log_lines[0].find("bytes at 128 cannot be read"), std::string::npos)
+      << findings.log_lines[0];
 }
 
 // A client may hand in a body that looks like a record. Where the record round it is damaged, it must not
 // count.
 TEST(Journal, ABodyThatLooksLikeARecordIsNone) {
   MemoryFiles files;
-  Accepted forged;
-  forged.order = 77;
+  AcceptedMessage forged;
+  forged.sequence = 77;
   forged.message = message("forged");
   {
     Journal journal(files, options(100'000));
     Submission evil = message("evil");
-    evil.body = frame(0, Kind::kAccepted, encode(forged)) + frame(1, Kind::kDone, encode_done(1));
-    ASSERT_TRUE(journal.accepted(message("first"), 1));
-    ASSERT_TRUE(journal.accepted(evil, 1));
-    ASSERT_TRUE(journal.accepted(message("last"), 1));
+    evil.body = frame_record(0, RecordKind::kAccepted, encode(forged)) +
+                frame_record(1, RecordKind::kDone, encode_done(1));
+    ASSERT_TRUE(journal.record_accepted(message("first"), 1));
+    ASSERT_TRUE(journal.record_accepted(evil, 1));
+    ASSERT_TRUE(journal.record_accepted(message("last"), 1));
   }
   Contents bad = files.contents();
   std::string& bytes = bad.begin()->second;
@@ -324,13 +327,13 @@
   MemoryFiles files;
   {
     Journal journal(files, options(100'000));
-    ASSERT_TRUE(journal.accepted(message("a"), 1));
-    ASSERT_TRUE(journal.attempt("a", 0, 5, 0));
+    ASSERT_TRUE(journal.record_accepted(message("a"), 1));
+    ASSERT_TRUE(journal.record_attempt("a", 0, 5, 0));
   }
   Contents bad = files.contents();
   bad.begin()->second[kHeaderBytes + 30] ^= 1;
   MemoryFiles damaged(bad);
-  Findings findings;
+  RecoveryReport findings;
   EXPECT_TRUE(recovered(damaged, 100'000, &findings).messages.empty());
   EXPECT_EQ(findings.orphans, 1u);
 }
@@ -339,7 +342,8 @@
   MemoryFiles files;
   {
     Journal journal(files, options(400'000));
-    for (int i = 0; i < 60; ++i) ASSERT_TRUE(journal.accepted(message("m" + std::to_string(i), 1000), i));
+    for (int i = 0; i < 60; ++i)
+      ASSERT_TRUE(journal.record_accepted(message("m" + std::to_string(i), 1000), i));
   }
   const Contents good = files.contents();
   ASSERT_GE(good.size(), 3u);
@@ -365,10 +369,10 @@
     JournalOptions other = options(400'000);
     other.owner = "n7";
     Journal journal(strange, other);
-    ASSERT_TRUE(journal.accepted(message("alien"), 1));
+    ASSERT_TRUE(journal.record_accepted(message("alien"), 1));
     others["journal-0000000098"] = strange.contents().begin()->second;
-    Header header = *decode_header(others["journal-0000000098"]);
-    header.number = 98;
+    SegmentHeader header = *decode_header(others["journal-0000000098"]);
+    header.segment_number = 98;
     others["journal-0000000098"].replace(0, kHeaderBytes, encode(header));
   }
   for (const Case& c : {Case{"truncated", empty, 60 - in_first, "it is empty"},
@@ -376,22 +380,22 @@
                         Case{"swapped", swapped, 60 - 2 * in_first, "under another name"},
                         Case{"another's", others, 60, "it belongs to relay n7"}}) {
     MemoryFiles folder(c.contents);
-    Findings findings;
+    RecoveryReport findings;
     EXPECT_EQ(recovered(folder, 400'000, &findings).messages.size(), c.left) << c.what;
-    ASSERT_FALSE(findings.lines.empty()) << c.what;
-    EXPECT_NE(findings.lines[0].find(c.line), std::string::npos) << findings.lines[0];
+    ASSERT_FALSE(findings.log_lines.empty()) << c.what;
+    EXPECT_NE(findings.log_lines[0].find(c.line), std::string::npos) << findings.log_lines[0];
     // It is there still, under another name, and the next start finds nothing strange.
     EXPECT_EQ(folder.contents().size(), c.contents.size());
-    Findings again;
+    RecoveryReport again;
     recovered(folder, 400'000, &again);
-    EXPECT_TRUE(again.lines.empty()) << c.what;
+    EXPECT_TRUE(again.log_lines.empty()) << c.what;
   }
 }
 
 TEST(Journal, ANewerVersionIsRefusedAndLeftUntouched) {
-  Header header;
+  SegmentHeader header;
   header.version = 4;
-  header.number = 1;
+  header.segment_number = 1;
   header.owner = kOwner;
   Contents contents{{"journal-0000000001", encode(header) + "what nobody can read"}, {"journal", "old"}};
   MemoryFiles files(contents);
@@ -411,16 +415,17 @@
   MemoryFiles files;
   {
     Journal journal(files, options(disk));
-    for (int i = 0; i < 30; ++i) EXPECT_TRUE(journal.accepted(message("m" + std::to_string(i), 700), i));
-    for (int i = 0; i < 10; ++i) journal.done("m" + std::to_string(3 * i));
+    for (int i = 0; i < 30; ++i)
+      EXPECT_TRUE(journal.record_accepted(message("m" + std::to_string(i), 700), i));
+    for (int i = 0; i < 10; ++i) journal.record_done("m" + std::to_string(3 * i));
   }
   Contents out = files.contents();
   EXPECT_GE(out.size(), 4u);
   out.begin()->second[kHeaderBytes + 100] ^= 1;
   std::next(out.begin())->second.clear();
   out.rbegin()->second.append("\xd5\x4a torn");
-  Header begun;
-  begun.number = out.size() + 1;
+  SegmentHeader begun;
+  begun.segment_number = out.size() + 1;
   begun.owner = kOwner;
   char name[40];
   std::snprintf(name, sizeof name, "journal-%010zu", out.size() + 1);
@@ -432,16 +437,16 @@
   constexpr size_t kDisk = 200'000;
   const Contents folder = messy_folder(kDisk);
   MemoryFiles undisturbed(folder);
-  Findings findings;
+  RecoveryReport findings;
   const Model expected = recovered(undisturbed, kDisk, &findings);
-  ASSERT_EQ(findings.damages, 1u);
+  ASSERT_EQ(findings.damaged_ranges, 1u);
   ASSERT_GE(undisturbed.changes.size(), 4u) << "a start that changes nothing tests nothing";
   // All folders that a kill may leave: after each change, and within each write.
   const auto kills = [](const Contents& from, const MemoryFiles& played) {
     std::vector<Contents> out{from};
     Contents now = from;
     for (const auto& change : played.changes) {
-      if (change.what == MemoryFiles::Change::What::kAppend) {
+      if (change.type == MemoryFiles::Change::Type::kAppend) {
         for (size_t prefix = 1; prefix < change.bytes.size(); prefix += 1 + change.bytes.size() / 20) {
           out.push_back(now);
           MemoryFiles::apply(out.back(), change, prefix);
@@ -460,7 +465,7 @@
       MemoryFiles third(twice);
       const Model found = recovered(third, kDisk);
       ASSERT_EQ(found, expected) << show(found) << "\n expected " << show(expected);
-      EXPECT_LE(third.most, kDisk);
+      EXPECT_LE(third.max_used_bytes, kDisk);
       ++points;
     }
   }
@@ -482,14 +487,14 @@
   for (int i = 0; i < 600; ++i) {
     if (alive.size() >= 20) {
       const auto some = std::next(alive.begin(), static_cast<std::ptrdiff_t>(random() % alive.size()));
-      journal.done(*some);
+      journal.record_done(*some);
       alive.erase(some);
       note();
     }
     const std::string id = "m" + std::to_string(i);
-    if (journal.accepted(message(id, 400), i)) alive.insert(id);
+    if (journal.record_accepted(message(id, 400), i)) alive.insert(id);
     note();
-    journal.tidy(2000);
+    journal.compact(2000);
     note();
   }
   ASSERT_GT(journal.copied_bytes(), 10'000u);
@@ -505,7 +510,7 @@
   for (size_t c = 0; c < claimed.size(); ++c) {
     for (; at < claimed[c].first; ++at) {
       const auto& change = files.changes[at];
-      if (change.what == MemoryFiles::Change::What::kRemove) {
+      if (change.type == MemoryFiles::Change::Type::kRemove) {
         const std::set<std::string> seen = found(now);
         ASSERT_TRUE(seen == claimed[c].second || seen == claimed[c - 1].second) << "change " << at;
         old_name = change.name;
@@ -534,7 +539,7 @@
         MemoryFiles files;
         files.fail_from = at;
         files.fail_until = at + 1 + at % 3;
-        files.fail_partly = partly;
+        files.fail_after_partial_write = partly;
         files.fail_truncate = uncut;
         constexpr size_t kDisk = 30'000;
         Model model;
@@ -542,26 +547,26 @@
           Journal journal(files, options(kDisk));
           for (int i = 0; i < 150; ++i) {
             const std::string id = "m" + std::to_string(i);
-            if (!journal.accepted(message(id, 300), i)) continue;
+            if (!journal.record_accepted(message(id, 300), i)) continue;
             model.messages.emplace_back(id,
                                         Known{i, message(id, 300).body, message(id, 300).tenant, {}, 0, {}});
-            if (journal.attempt(id, 0, i, 0)) {
+            if (journal.record_attempt(id, 0, i, 0)) {
               model.messages.back().second.unsettled[0] = {i, 0};
               model.messages.back().second.attempts = 1;
             }
             if (i % 16 == 3) continue;
-            journal.done(id);
+            journal.record_done(id);
             model.messages.pop_back();
           }
           files.fail_from = INT64_MAX;
-          journal.tidy(1);  // what could not be written is written now
+          journal.compact(1);  // what could not be written is written now
         }
-        EXPECT_LE(files.most, kDisk);
+        EXPECT_LE(files.max_used_bytes, kDisk);
         MemoryFiles left(files.contents());
-        Findings findings;
+        RecoveryReport findings;
         const Model found = recovered(left, kDisk, &findings);
         if (!uncut) {
-          EXPECT_EQ(findings.damages + findings.torn_bytes, 0u) << "a failed write was not cut off";
+          EXPECT_EQ(findings.damaged_ranges + findings.torn_bytes, 0u) << "a failed write was not cut off";
         }
         // An attempt that could not be recorded, nor cut off, may be there: that errs to the safe side.
         Model plain = model, seen = found;
@@ -584,15 +589,15 @@
     MemoryFiles files;
     files.fail_from = at;
     files.fail_until = at + 1;
-    files.fail_wholly = files.fail_truncate = true;
+    files.fail_after_full_write = files.fail_truncate = true;
     std::set<std::string> taken, refused;
     {
       Journal journal(files, options(30'000));
       for (int i = 0; i < 30; ++i) {
         const std::string id = "m" + std::to_string(i);
-        (journal.accepted(message(id, 100), i) ? taken : refused).insert(id);
+        (journal.record_accepted(message(id, 100), i) ? taken : refused).insert(id);
       }
-      journal.tidy(1);
+      journal.compact(1);
     }
     MemoryFiles left(files.contents());
     const Model found = recovered(left, 30'000);
@@ -608,14 +613,14 @@
     MemoryFiles files;
     files.fail_from = at;
     files.fail_until = at + 1;
-    files.fail_partly = true;
+    files.fail_after_partial_write = true;
     Journal journal(files, options(40'000));
-    for (int i = 0; i < 10; ++i) journal.accepted(message("kept" + std::to_string(i), 100), i);
+    for (int i = 0; i < 10; ++i) journal.record_accepted(message("kept" + std::to_string(i), 100), i);
     int refused = 0;  // the one that met the failure
     for (int i = 0; i < 500; ++i) {
       const std::string id = "m" + std::to_string(i);
-      refused += !journal.accepted(message(id, 1000), i);
-      journal.done(id);
+      refused += !journal.record_accepted(message(id, 1000), i);
+      journal.record_done(id);
     }
     EXPECT_LE(refused, 1) << "failed at " << at;
   }
@@ -629,7 +634,7 @@
     std::vector<std::string> taken;
     for (int i = 0; i < 1000; ++i) {
       const std::string id = std::to_string(round) + "-" + std::to_string(i);
-      if (!journal.accepted(message(id, 500), i)) break;
+      if (!journal.record_accepted(message(id, 500), i)) break;
       taken.push_back(id);
     }
     EXPECT_LT(taken.size(), 1000u);
@@ -637,15 +642,15 @@
     // Whatever was accepted can have all its attempts, its notice and its end.
     for (int number = 0; number < 6; ++number) {
       for (const std::string& id : taken) {
-        ASSERT_TRUE(journal.attempt(id, number, 1, 0));
-        if (number % 2 == 0) journal.never_ran(id, number);
+        ASSERT_TRUE(journal.record_attempt(id, number, 1, 0));
+        if (number % 2 == 0) journal.record_not_executed(id, number);
       }
     }
-    for (const std::string& id : taken) ASSERT_TRUE(journal.owed({id, true, 500}));
-    for (const std::string& id : taken) journal.done(id);
-    EXPECT_EQ(journal.live(), 0u);
+    for (const std::string& id : taken) ASSERT_TRUE(journal.record_notice({id, true, 500}));
+    for (const std::string& id : taken) journal.record_done(id);
+    EXPECT_EQ(journal.live_messages(), 0u);
   }
-  EXPECT_LE(files.most, kDisk);
+  EXPECT_LE(files.max_used_bytes, kDisk);
 }
 
 // Whatever else is on the disk may take its room at any moment of a compaction: from each change on nothing
@@ -659,12 +664,12 @@
     Model model;
     const auto add = [&](int i) {
       const std::string id = "m" + std::to_string(i);
-      if (!journal.accepted(message(id, 400), i)) return false;
+      if (!journal.record_accepted(message(id, 400), i)) return false;
       model.messages.emplace_back(id, Known{i, message(id, 400).body, message(id, 400).tenant, {}, 0, {}});
       return true;
     };
     const auto end = [&](size_t at) {
-      journal.done(model.messages[at].first);
+      journal.record_done(model.messages[at].first);
       model.messages.erase(model.messages.begin() + static_cast<std::ptrdiff_t>(at));
     };
     int made = 0;
@@ -675,12 +680,12 @@
     const auto turn = [&](int number) {
       if (!model.messages.empty()) end(static_cast<size_t>(number * 7) % model.messages.size());
       const bool taken = add(made++);
-      if (slices) journal.tidy(1000);
+      if (slices) journal.compact(1000);
       return taken;
     };
     for (int i = 0; journal.copied_bytes() == 0; ++i) ASSERT_TRUE(turn(i));
     const size_t copied = journal.copied_bytes(), before = files.changes.size();
-    files.full_from = before + static_cast<size_t>(full_at);
+    files.disk_full_from = before + static_cast<size_t>(full_at);
     int refused = 0;
     for (int i = 0; i < 100; ++i) {
       refused += !turn(i);
@@ -693,15 +698,15 @@
       }
     }
     EXPECT_GT(refused, 0);
-    files.full_from = SIZE_MAX;
-    journal.tidy(1);
+    files.disk_full_from = SIZE_MAX;
+    journal.compact(1);
     int taken = 0;
     for (int i = 0; i < 200; ++i) {
       taken += add(made++);
       if (model.messages.size() > 40) end(0);
     }
     EXPECT_GT(taken, 190) << "full at change " << full_at;
-    EXPECT_LE(files.most, kDisk);
+    EXPECT_LE(files.max_used_bytes, kDisk);
     compactions += journal.copied_bytes() > copied;
     MemoryFiles left(files.contents());
     const Model found = recovered(left, kDisk);
@@ -723,7 +728,7 @@
     std::map<std::string, int> alive;  // and how many attempts each had
     for (int i = 0; i < 600; ++i) {
       const std::string id = "m" + std::to_string(i);
-      if (journal.accepted(message(id, random() % longest), i)) {
+      if (journal.record_accepted(message(id, random() % longest), i)) {
         alive[id] = 0;
         ++taken;
         continue;
@@ -733,29 +738,30 @@
         const auto some = std::next(alive.begin(), static_cast<std::ptrdiff_t>(random() % alive.size()));
         const auto& [name, attempts] = *some;
         if (attempts < 6 && random() % 3 != 0) {
-          ASSERT_TRUE(journal.attempt(name, attempts, 1, 0)) << "seed " << seed << " step " << i;
-          if (random() % 2 == 0) journal.never_ran(name, attempts);
+          ASSERT_TRUE(journal.record_attempt(name, attempts, 1, 0)) << "seed " << seed << " step " << i;
+          if (random() % 2 == 0) journal.record_not_executed(name, attempts);
           ++some->second;
           continue;
         }
         if (random() % 2 == 0) {
-          ASSERT_TRUE(journal.owed({name, true, 5})) << "seed " << seed << " step " << i;
+          ASSERT_TRUE(journal.record_notice({name, true, 5})) << "seed " << seed << " step " << i;
         }
-        journal.done(name);
-        ASSERT_TRUE(journal.caught_up()) << "seed " << seed << " step " << i;
+        journal.record_done(name);
+        ASSERT_TRUE(journal.has_no_backlog()) << "seed " << seed << " step " << i;
         alive.erase(some);
       }
-      if (random() % 2 == 0) journal.tidy(random() % 3000);
+      if (random() % 2 == 0) journal.compact(random() % 3000);
     }
-    for (int i = 600; journal.accepted(message("m" + std::to_string(i), random() % longest), i); ++i)
+    for (int i = 600; journal.record_accepted(message("m" + std::to_string(i), random() % longest), i); ++i)
       alive["m" + std::to_string(i)] = 0;
     for (auto& [name, attempts] : alive) {
-      for (; attempts < 6; ++attempts) ASSERT_TRUE(journal.attempt(name, attempts, 1, 0)) << "seed " << seed;
-      ASSERT_TRUE(journal.owed({name, true, 5})) << "seed " << seed;
+      for (; attempts < 6; ++attempts)
+        ASSERT_TRUE(journal.record_attempt(name, attempts, 1, 0)) << "seed " << seed;
+      ASSERT_TRUE(journal.record_notice({name, true, 5})) << "seed " << seed;
     }
-    for (const auto& [name, attempts] : alive) journal.done(name);
-    ASSERT_TRUE(journal.caught_up()) << "seed " << seed;
-    ASSERT_LE(files.most, disk) << "seed " << seed;
+    for (const auto& [name, attempts] : alive) journal.record_done(name);
+    ASSERT_TRUE(journal.has_no_backlog()) << "seed " << seed;
+    ASSERT_LE(files.max_used_bytes, disk) << "seed " << seed;
   }
   EXPECT_GT(taken, 2000u);
   EXPECT_GT(refused, 2000u);
@@ -768,7 +774,7 @@
   size_t bytes = 0;
   for (int i = 0;; ++i) {
     const Submission m = message("m" + std::to_string(i), 2000);
-    if (!journal.accepted(m, i)) break;
+    if (!journal.record_accepted(m, i)) break;
     bytes += m.body.size();
   }
   EXPECT_GT(bytes, kDisk * 3 / 4);
@@ -781,10 +787,10 @@
     Journal journal(files, options(kDisk));
     int kept = 0, taken = 0;
     for (int i = 0; i < facts; ++i) {
-      kept += journal.remember("gone s-" + std::to_string(i), std::string(30, 'x'));
+      kept += journal.put_metadata("gone s-" + std::to_string(i), std::string(30, 'x'));
     }
     EXPECT_TRUE(facts == 0 || kept > 300);
-    while (taken < 1000 && journal.accepted(message("m" + std::to_string(taken), 500), 1)) ++taken;
+    while (taken < 1000 && journal.record_accepted(message("m" + std::to_string(taken), 500), 1)) ++taken;
     return taken;
   };
   const int alone = taken_beside(0);
@@ -798,18 +804,19 @@
   Journal journal(files, options(kDisk));
   size_t bytes = 0;
   for (int i = 0; i < 2000; ++i) {
-    if (journal.remember("fact " + std::to_string(i), std::string(100, 'x'))) bytes += 100;
+    if (journal.put_metadata("fact " + std::to_string(i), std::string(100, 'x'))) bytes += 100;
   }
   EXPECT_GT(bytes, kDisk / 8);
   EXPECT_LE(bytes, kDisk / 4);
-  EXPECT_TRUE(journal.remember("fact 1", "short"));
+  EXPECT_TRUE(journal.put_metadata("fact 1", "short"));
 }
 
 TEST(Journal, DamagedBytesAreKeptForAPersonWhereThereIsRoom) {
   MemoryFiles files;
   {
     Journal journal(files, options(100'000));
-    for (int i = 0; i < 20; ++i) ASSERT_TRUE(journal.accepted(message("m" + std::to_string(i), 400), i));
+    for (int i = 0; i < 20; ++i)
+      ASSERT_TRUE(journal.record_accepted(message("m" + std::to_string(i), 400), i));
   }
   Contents bad = files.contents();
   const std::string name = bad.begin()->first;
@@ -817,10 +824,10 @@
   const std::string aside = "aside-" + name + "-128";
   MemoryFiles damaged(bad);
   for (int start = 0; start < 2; ++start) {  // the second one finds it there
-    Findings findings;
+    RecoveryReport findings;
     EXPECT_EQ(recovered(damaged, 100'000, &findings).messages.size(), 19u);
-    ASSERT_EQ(findings.lines.size(), 1u);
-    EXPECT_TRUE(findings.lines[0].ends_with("they are kept as " + aside)) << findings.lines[0];
+    ASSERT_EQ(findings.log_lines.size(), 1u);
+    EXPECT_TRUE(findings.log_lines[0].ends_with("they are kept as " + aside)) << findings.log_lines[0];
     EXPECT_EQ(damaged.contents().at(aside), bad.at(name).substr(128, findings.damaged_bytes));
     EXPECT_EQ(damaged.contents().size(), bad.size() + 1);
   }
@@ -834,11 +841,11 @@
   MemoryFiles files;
   {
     Journal journal(files, options(100'000));
-    ASSERT_TRUE(journal.accepted(message("a"), 1));
-    ASSERT_TRUE(journal.attempt("a", 0, 5, 0));
-    journal.done("a");
-    ASSERT_TRUE(journal.accepted(message("a"), 2));
-    EXPECT_FALSE(journal.accepted(message("a"), 3)) << "it is alive";
+    ASSERT_TRUE(journal.record_accepted(message("a"), 1));
+    ASSERT_TRUE(journal.record_attempt("a", 0, 5, 0));
+    journal.record_done("a");
+    ASSERT_TRUE(journal.record_accepted(message("a"), 2));
+    EXPECT_FALSE(journal.record_accepted(message("a"), 3)) << "it is alive";
   }
   const Model found = recovered(files, 100'000);
   ASSERT_EQ(found.messages.size(), 1u);
@@ -850,17 +857,18 @@
 
 // Version 2 knew no tenants; else its records are the same, so its segments are read as they are.
 TEST(Journal, SegmentsOfVersionTwoAreReadAndCopiedForward) {
-  Header header;
+  SegmentHeader header;
   header.version = 2;
-  header.number = 1;
+  header.segment_number = 1;
   header.salt = 5;
   header.owner = kOwner;
-  Accepted a;
-  a.order = 1;
+  AcceptedMessage a;
+  a.sequence = 1;
   a.due = 77;
   a.message = message("a");
   a.message.tenant.clear();
-  MemoryFiles files(Contents{{"journal-0000000001", encode(header) + frame(5, Kind::kAccepted, encode(a))}});
+  MemoryFiles files(
+      Contents{{"journal-0000000001", encode(header) + frame_record(5, RecordKind::kAccepted, encode(a))}});
   for (int start = 0; start < 2; ++start) {
     const Model found = recovered(files, 100'000);
     ASSERT_EQ(found.messages.size(), 1u);
@@ -870,9 +878,9 @@
     Journal journal(files, options(100'000));
     for (int i = 0; i < 200; ++i) {  // until the old segment has been copied forward
       const std::string id = "x" + std::to_string(start * 1000 + i);
-      ASSERT_TRUE(journal.accepted(message(id, 2000), 1));
-      journal.done(id);
-      journal.tidy(1 << 20);
+      ASSERT_TRUE(journal.record_accepted(message(id, 2000), 1));
+      journal.record_done(id);
+      journal.compact(1 << 20);
     }
   }
   EXPECT_FALSE(files.contents().contains("journal-0000000001"));
@@ -910,21 +918,21 @@
   MemoryFiles files(now);
   const Model expected = recovered(files, 100'000);
   ASSERT_EQ(expected.messages.size(), 2u);
-  EXPECT_EQ(expected.messages[0].second.unsettled.at(0), (std::pair<Time, int>{55, 1}));
-  EXPECT_EQ(expected.messages[1].second.owed, (std::pair<bool, Time>{true, 500}));
+  EXPECT_EQ(expected.messages[0].second.unsettled.at(0), (std::pair<Micros, int>{55, 1}));
+  EXPECT_EQ(expected.messages[1].second.owed, (std::pair<bool, Micros>{true, 500}));
   EXPECT_EQ(expected.facts.at("revision"), "41");
   EXPECT_FALSE(files.contents().contains("journal"));
   for (const auto& change : files.changes) {
     for (size_t prefix = 0; prefix <= change.bytes.size(); ++prefix) {
-      if (change.what != MemoryFiles::Change::What::kAppend && prefix > 0) break;
+      if (change.type != MemoryFiles::Change::Type::kAppend && prefix > 0) break;
       Contents cut = now;
-      if (change.what == MemoryFiles::Change::What::kAppend) MemoryFiles::apply(cut, change, prefix);
+      if (change.type == MemoryFiles::Change::Type::kAppend) MemoryFiles::apply(cut, change, prefix);
       MemoryFiles once(cut);
       ASSERT_EQ(recovered(once, 100'000), expected);
       Contents again = cut;  // killed in that second carrying over too
       for (const auto& second : once.changes) {
         MemoryFiles::apply(again, second, second.bytes.size() / 2);
-        if (second.what == MemoryFiles::Change::What::kAppend) break;
+        if (second.type == MemoryFiles::Change::Type::kAppend) break;
       }
       MemoryFiles twice(again);
       ASSERT_EQ(recovered(twice, 100'000), expected);
@@ -950,26 +958,26 @@
     if (second % 300 == 0) {
       journal.reset();
       journal.emplace(files, options(kDisk, static_cast<uint64_t>(second) + 1));
-      journal->recover([](const Recovered&) {});
+      journal->recover([](const RecoveredMessage&) {});
     }
     if (second % 5 == 0) {
-      ASSERT_TRUE(journal->remember("host " + std::to_string(second), std::string(150, 'h')));
-      ASSERT_TRUE(journal->remember("host " + std::to_string(second - 60), ""));
+      ASSERT_TRUE(journal->put_metadata("host " + std::to_string(second), std::string(150, 'h')));
+      ASSERT_TRUE(journal->put_metadata("host " + std::to_string(second - 60), ""));
     }
     for (int i = 0; i < 5; ++i) {
       const std::string id = std::to_string(second) + "-" + std::to_string(i);
-      ASSERT_TRUE(journal->accepted(message(id, 200), 1000 + second));
-      ASSERT_TRUE(journal->attempt(id, 0, second, 0));
-      if (second >= 10) journal->done(std::to_string(second - 10) + "-" + std::to_string(i));
-      journal->tidy(32 * 1024);
+      ASSERT_TRUE(journal->record_accepted(message(id, 200), 1000 + second));
+      ASSERT_TRUE(journal->record_attempt(id, 0, second, 0));
+      if (second >= 10) journal->record_done(std::to_string(second - 10) + "-" + std::to_string(i));
+      journal->compact(32 * 1024);
     }
-    ASSERT_LE(journal->live(), 60u);
-    ASSERT_LE(journal->used(), kDisk);
-    if (second >= 300 && second < 900) early = std::max(early, journal->used());
-    if (second >= 2100) late = std::max(late, journal->used());
+    ASSERT_LE(journal->live_messages(), 60u);
+    ASSERT_LE(journal->used_bytes(), kDisk);
+    if (second >= 300 && second < 900) early = std::max(early, journal->used_bytes());
+    if (second >= 2100) late = std::max(late, journal->used_bytes());
   }
   EXPECT_LT(late, early + early / 20);
-  EXPECT_LE(journal->remembered().size(), 13u);
+  EXPECT_LE(journal->metadata().size(), 13u);
 }
 
 }  // namespace
--- a/tests/state/memory_files.h
+++ b/tests/state/memory_files.h
@@ -20,7 +20,7 @@
 class MemoryFiles : public Files {
  public:
   struct Change {
-    enum class What { kCreate, kAppend, kTruncate, kRename, kRemove } what = What::kAppend;
+    enum class Type { kCreate, kAppend, kTruncate, kRename, kRemove } type = Type::kAppend;
     std::string name;
     std::string bytes;  // appended, or the new name
     size_t size = 0;    // after truncation
@@ -44,9 +44,9 @@
     Folder folder = on_disk_;
     for (const auto& change : unsynced_) {
       if (random() % 2 == 0) continue;
-      if (change.what == Change::What::kCreate) folder[change.name] = change.file;
-      if (change.what == Change::What::kRemove) folder.erase(change.name);
-      if (change.what == Change::What::kRename && folder.contains(change.name)) {
+      if (change.type == Change::Type::kCreate) folder[change.name] = change.file;
+      if (change.type == Change::Type::kRemove) folder.erase(change.name);
+      if (change.type == Change::Type::kRename && folder.contains(change.name)) {
         folder[change.to] = folder.at(change.name);
         folder.erase(change.name);
       }
@@ -59,7 +59,7 @@
       left.resize(random() % 3 == 0 ? longest : sure + random() % (longest - sure + 1), '\0');
       const std::string now = file->written();
       for (size_t at = sure; at < left.size();) {
-        const size_t end = std::min(left.size(), (at / kBlock + 1) * kBlock);
+        const size_t end = std::min(left.size(), (at / kDiskBlockBytes + 1) * kDiskBlockBytes);
         const bool kept = random() % 2 == 0;
         for (; at < end; ++at) {
           if (kept && at < now.size()) left[at] = now[at];
@@ -70,32 +70,32 @@
     return out;
   }
   std::vector<Change> changes;
-  size_t most = 0;                // counted as the platform does, at any instant
-  size_t capacity = SIZE_MAX;     // ENOSPC past it
-  size_t full_from = SIZE_MAX;    // so many changes, and then there is no room for another block
-  int64_t fail_from = INT64_MAX;  // changes by their number: these fail,
+  size_t max_used_bytes = 0;         // counted as the platform does, at any instant
+  size_t capacity = SIZE_MAX;        // ENOSPC past it
+  size_t disk_full_from = SIZE_MAX;  // so many changes, and then there is no room for another block
+  int64_t fail_from = INT64_MAX;     // changes by their number: these fail,
   int64_t fail_until = INT64_MAX;
-  bool fail_partly = false;    // after part of a write
-  bool fail_wholly = false;    // after all of it
-  bool fail_sync = false;      // and what it should have covered is never written by a later one
-  bool fail_truncate = false;  // and it cannot be cut off again
+  bool fail_after_partial_write = false;  // after part of a write
+  bool fail_after_full_write = false;     // after all of it
+  bool fail_sync = false;                 // and what it should have covered is never written by a later one
+  bool fail_truncate = false;             // and it cannot be cut off again
 
   static void apply(Contents& to, const Change& change, size_t prefix) {
-    switch (change.what) {
-      case Change::What::kCreate:
+    switch (change.type) {
+      case Change::Type::kCreate:
         to[change.name].clear();
         return;
-      case Change::What::kAppend:
+      case Change::Type::kAppend:
         to[change.name].append(change.bytes, 0, prefix);
         return;
-      case Change::What::kTruncate:
+      case Change::Type::kTruncate:
         to[change.name].resize(change.size);
         return;
-      case Change::What::kRename:
+      case Change::Type::kRename:
         to[change.bytes] = std::move(to[change.name]);
         to.erase(change.name);
         return;
-      case Change::What::kRemove:
+      case Change::Type::kRemove:
         to.erase(change.name);
         return;
     }
@@ -109,8 +109,8 @@
   int create(const std::string& name) override {
     if (fails()) return -1;
     files_[name] = std::make_shared<File>();
-    unsynced_.push_back({Change::What::kCreate, name, "", files_[name]});
-    note({Change::What::kCreate, name, "", 0});
+    unsynced_.push_back({Change::Type::kCreate, name, "", files_[name]});
+    note({Change::Type::kCreate, name, "", 0});
     return handle(name);
   }
   int open(const std::string& name) override { return files_.contains(name) ? handle(name) : -1; }
@@ -118,16 +118,18 @@
     const auto& [name, of] = handles_[static_cast<size_t>(file)];
     std::string* const to = &of->bytes;
     size_t room = bytes.size();
-    const size_t limit = changes.size() >= full_from ? 0 : capacity;
-    if (const size_t now = total(); now - counted(to->size()) + counted(to->size() + room) > limit) {
-      room = std::min(room, counted(to->size()) - to->size());  // to the end of its block
+    const size_t limit = changes.size() >= disk_full_from ? 0 : capacity;
+    if (const size_t now = total();
+        now - block_rounded(to->size()) + block_rounded(to->size() + room) > limit) {
+      room = std::min(room, block_rounded(to->size()) - to->size());  // to the end of its block
     }
     const bool failing = fails();
-    if (failing && !fail_wholly) room = fail_partly ? std::min(room, bytes.size() / 2) : 0;
+    if (failing && !fail_after_full_write)
+      room = fail_after_partial_write ? std::min(room, bytes.size() / 2) : 0;
     if (room == 0) return -1;
     to->append(bytes.substr(0, room));
-    note({Change::What::kAppend, name, std::string(bytes.substr(0, room)), 0});
-    return failing && fail_wholly ? -1 : static_cast<ssize_t>(room);
+    note({Change::Type::kAppend, name, std::string(bytes.substr(0, room)), 0});
+    return failing && fail_after_full_write ? -1 : static_cast<ssize_t>(room);
   }
   ssize_t read(int file, size_t at, char* to, size_t count) override {
     const auto& bytes = handles_[static_cast<size_t>(file)].second->bytes;
@@ -141,22 +143,22 @@
     if (fail_truncate) return false;
     const auto& [name, of] = handles_[static_cast<size_t>(file)];
     of->bytes.resize(size);
-    note({Change::What::kTruncate, name, "", size});
+    note({Change::Type::kTruncate, name, "", size});
     return true;
   }
   bool rename(const std::string& from, const std::string& to) override {
     if (fails()) return false;
     files_[to] = files_[from];
     files_.erase(from);
-    unsynced_.push_back({Change::What::kRename, from, to, nullptr});
-    note({Change::What::kRename, from, to, 0});
+    unsynced_.push_back({Change::Type::kRename, from, to, nullptr});
+    note({Change::Type::kRename, from, to, 0});
     return true;
   }
   bool remove(const std::string& name) override {
     if (fails()) return false;
     files_.erase(name);
-    unsynced_.push_back({Change::What::kRemove, name, "", nullptr});
-    note({Change::What::kRemove, name, "", 0});
+    unsynced_.push_back({Change::Type::kRemove, name, "", nullptr});
+    note({Change::Type::kRemove, name, "", 0});
     return true;
   }
   bool sync(int file) override {
@@ -174,7 +176,7 @@
     unsynced_.clear();
     return true;
   }
-  void forget(int file) override {
+  void drop_page_cache(int file) override {
     File& of = *handles_[static_cast<size_t>(file)].second;
     of.bytes = of.written();
     of.lost.clear();
@@ -197,7 +199,7 @@
   };
   using Folder = std::map<std::string, std::shared_ptr<File>>;
   struct FolderChange {
-    Change::What what = Change::What::kCreate;
+    Change::Type type = Change::Type::kCreate;
     std::string name, to;
     std::shared_ptr<File> file;
   };
@@ -208,7 +210,7 @@
   }
   size_t total() const {
     size_t out = 0;
-    for (const auto& [name, file] : files_) out += counted(file->bytes.size());
+    for (const auto& [name, file] : files_) out += block_rounded(file->bytes.size());
     return out;
   }
   bool fails() {
@@ -217,7 +219,7 @@
   }
   void note(Change change) {
     changes.push_back(std::move(change));
-    most = std::max(most, total());
+    max_used_bytes = std::max(max_used_bytes, total());
   }
 
   Folder files_;
--- a/tests/state/power_test.cpp
+++ b/tests/state/power_test.cpp
@@ -13,7 +13,7 @@
 namespace umberhoist::state {
 namespace {
 
-JournalOptions group(size_t disk, uint64_t seed) { return {disk, "n0", 6, seed, Durability::kGroup}; }
+JournalOptions group(size_t disk, uint64_t seed) { return {disk, "n0", 6, seed, Durability::kGroupCommit}; }
 
 Submission message(const std::string& id, size_t body) {
   Submission out;
@@ -47,32 +47,32 @@
     if (id.empty() || what < 30) {
       const std::string fresh = "m" + std::to_string(made_++);
       const size_t body = below(6) == 0 ? below(3000) : below(200);
-      if (journal_->accepted(message(fresh, body), 1))
-        claims_[fresh] = {body, journal_->position(), {}, {}, {}, {}, {}};
+      if (journal_->record_accepted(message(fresh, body), 1))
+        claims_[fresh] = {body, journal_->written_position(), {}, {}, {}, {}, {}};
     } else if (what < 45) {
       Claim& c = claims_.at(id);
       const int number = static_cast<int>(c.tried.size());
       // As the relay: an attempt is let go once its record and its message's are safe, not before.
       if (number < 6 && !c.owed) {
         c.tried.insert(number);
-        if (journal_->attempt(id, number, 10, 0)) c.attempts[number] = journal_->position();
+        if (journal_->record_attempt(id, number, 10, 0)) c.attempts[number] = journal_->written_position();
       }
     } else if (what < 50) {
       Claim& c = claims_.at(id);
       if (!c.attempts.empty()) {
         c.never_ran.insert(c.attempts.rbegin()->first);
-        journal_->never_ran(id, c.attempts.rbegin()->first);
+        journal_->record_not_executed(id, c.attempts.rbegin()->first);
       }
     } else if (what < 55) {
       Claim& c = claims_.at(id);
-      if (!c.owed && journal_->owed({id, true, 5})) c.owed = journal_->position();
+      if (!c.owed && journal_->record_notice({id, true, 5})) c.owed = journal_->written_position();
     } else if (what < 70) {
-      journal_->done(id);
-      claims_.at(id).ended = journal_->caught_up() ? journal_->position() : kUnwritten;
+      journal_->record_done(id);
+      claims_.at(id).ended = journal_->has_no_backlog() ? journal_->written_position() : kUnwritten;
     } else if (what < 74) {
-      journal_->remember("fact" + std::to_string(below(4)), std::string(below(200), 'f'));
+      journal_->put_metadata("fact" + std::to_string(below(4)), std::string(below(200), 'f'));
     } else if (what < 80) {
-      journal_->tidy(200 + below(3000));
+      journal_->compact(200 + below(3000));
     } else if (what < 97) {
       sync();
     } else {
@@ -80,7 +80,7 @@
       start();
     }
     for (auto& [name, c] : claims_) {
-      if (c.ended == kUnwritten && journal_->caught_up()) c.ended = journal_->position();
+      if (c.ended == kUnwritten && journal_->has_no_backlog()) c.ended = journal_->written_position();
     }
   }
 
@@ -89,8 +89,8 @@
     for (int i = 0; i < times; ++i) {
       MemoryFiles left(files_.after_power_loss(random_));
       Journal found(left, group(disk_, 3));
-      std::map<std::string, Recovered> there;
-      found.recover([&](Recovered r) { there[r.message.id] = std::move(r); });
+      std::map<std::string, RecoveredMessage> there;
+      found.recover([&](RecoveredMessage r) { there[r.message.id] = std::move(r); });
       for (const auto& [id, c] : claims_) check(id, c, there.contains(id) ? &there.at(id) : nullptr);
       for (const auto& [id, r] : there) EXPECT_TRUE(claims_.contains(id) || refused(id)) << id;
       ++points;
@@ -100,7 +100,7 @@
   }
 
   // Beside the power loss one bit went over, anywhere: it costs what it touches and nothing else.
-  void flip(const MemoryFiles& left, const std::map<std::string, Recovered>& there) {
+  void flip(const MemoryFiles& left, const std::map<std::string, RecoveredMessage>& there) {
     Contents bad = left.contents();
     if (bad.empty()) return;
     std::string& bytes = std::next(bad.begin(), static_cast<std::ptrdiff_t>(below(bad.size())))->second;
@@ -109,12 +109,13 @@
     MemoryFiles files(bad);
     Journal found(files, group(disk_, 4));
     std::set<std::string> changed;
-    std::map<std::string, Recovered> seen;
-    found.recover([&](Recovered r) { seen[r.message.id] = std::move(r); });
+    std::map<std::string, RecoveredMessage> seen;
+    found.recover([&](RecoveredMessage r) { seen[r.message.id] = std::move(r); });
     for (const auto& [id, r] : there) {
       const auto it = seen.find(id);
       if (it == seen.end() || it->second.message.body != r.message.body ||
-          it->second.unsettled != r.unsettled || it->second.owed.has_value() != r.owed.has_value()) {
+          it->second.maybe_executed != r.maybe_executed ||
+          it->second.pending_notice.has_value() != r.pending_notice.has_value()) {
         changed.insert(id);
       }
     }
@@ -145,21 +146,22 @@
   void start() {
     std::set<std::string> sure;
     for (const auto& [id, c] : claims_) {
-      if (journal_ && journal_->durable(c.accepted)) sure.insert(id);
+      if (journal_ && journal_->is_durable(c.accepted)) sure.insert(id);
     }
     journal_.reset();
     journal_ = std::make_unique<Journal>(files_, group(disk_, random_() | 1));
     // All that was there at a start is synced before anything else happens, and positions begin anew. What
     // had not been sure may be gone, with the pages of a sync that failed.
-    std::map<std::string, Recovered> there;
-    journal_->recover([&](Recovered r) { there[r.message.id] = std::move(r); });
+    std::map<std::string, RecoveredMessage> there;
+    journal_->recover([&](RecoveredMessage r) { there[r.message.id] = std::move(r); });
     std::erase_if(claims_, [&](const auto& claim) {
       return !there.contains(claim.first) && !claim.second.ended && !sure.contains(claim.first);
     });
     for (auto& [id, c] : claims_) {
       if (there.contains(id)) {
-        std::erase_if(c.attempts, [&](const auto& t) { return !there.at(id).unsettled.contains(t.first); });
-        if (c.owed && !there.at(id).owed) c.owed.reset();
+        std::erase_if(c.attempts,
+                      [&](const auto& t) { return !there.at(id).maybe_executed.contains(t.first); });
+        if (c.owed && !there.at(id).pending_notice) c.owed.reset();
         c.ended.reset();
       }
       c.accepted = 0;
@@ -172,12 +174,12 @@
   // Begun now, carried out some steps later, as by another thread.
   void sync() {
     if (pending_) return finish_sync(below(12) != 0);
-    if (journal_->sync_wanted()) pending_ = journal_->begin_sync();
+    if (journal_->needs_sync()) pending_ = journal_->begin_sync();
   }
   void finish_sync(bool good) {
     if (!pending_) return;
     files_.fail_sync = !good;
-    const bool done = Journal::carry_out(files_, *pending_);
+    const bool done = Journal::execute_sync(files_, *pending_);
     files_.fail_sync = false;
     journal_->end_sync(*pending_, done);
     pending_.reset();
@@ -185,27 +187,27 @@
     failed += !done;
   }
 
-  void check(const std::string& id, const Claim& c, const Recovered* r) {
+  void check(const std::string& id, const Claim& c, const RecoveredMessage* r) {
     if (c.ended) {
-      EXPECT_TRUE(r == nullptr || !journal_->durable(*c.ended)) << id << " ended and came back";
-    } else if (journal_->durable(c.accepted)) {
+      EXPECT_TRUE(r == nullptr || !journal_->is_durable(*c.ended)) << id << " ended and came back";
+    } else if (journal_->is_durable(c.accepted)) {
       EXPECT_NE(r, nullptr) << id << " was taken on and is lost";
     }
     if (r == nullptr) return;
     EXPECT_EQ(r->message.body, message(id, c.body).body) << id;
     for (const auto& [number, at] : c.attempts) {
-      if (!journal_->durable(at) || c.never_ran.contains(number)) continue;
-      EXPECT_TRUE(r->unsettled.contains(number)) << id << " may have run: attempt " << number;
+      if (!journal_->is_durable(at) || c.never_ran.contains(number)) continue;
+      EXPECT_TRUE(r->maybe_executed.contains(number)) << id << " may have run: attempt " << number;
     }
-    for (const auto& [number, sent] : r->unsettled) EXPECT_TRUE(c.tried.contains(number)) << id;
-    EXPECT_TRUE(r->owed || !c.owed || !journal_->durable(*c.owed)) << id << " was given back";
+    for (const auto& [number, sent] : r->maybe_executed) EXPECT_TRUE(c.tried.contains(number)) << id;
+    EXPECT_TRUE(r->pending_notice || !c.owed || !journal_->is_durable(*c.owed)) << id << " was given back";
   }
 
   size_t disk_;
   std::mt19937_64 random_;
   MemoryFiles files_;
   std::unique_ptr<Journal> journal_;
-  std::optional<Journal::Sync> pending_;
+  std::optional<Journal::SyncRequest> pending_;
   std::map<std::string, Claim> claims_;
   int made_ = 0;
 };
@@ -228,7 +230,7 @@
     failed += run.failed;
     flips += run.flips;
     felt += run.flips_felt;
-    EXPECT_LE(run.files().most, 30'000 + 10'000 * (i % 3)) << "seed " << seed;
+    EXPECT_LE(run.files().max_used_bytes, 30'000 + 10'000 * (i % 3)) << "seed " << seed;
   }
   EXPECT_GT(points, 5000u);
   EXPECT_GT(failed, 50u);
@@ -250,36 +252,36 @@
     Journal journal(files, group(disk, seed + 1));
     std::map<std::string, int> alive;
     for (int i = 0; i < 100; ++i) {
-      const bool out = journal.sync_wanted();
-      const Journal::Sync sync = out ? journal.begin_sync() : Journal::Sync{};
+      const bool out = journal.needs_sync();
+      const Journal::SyncRequest sync = out ? journal.begin_sync() : Journal::SyncRequest{};
       for (int k = 0; k < 60; ++k) {
         const std::string id = "m" + std::to_string(60 * i + k);
-        if (journal.accepted(message(id, random() % 1000), 1)) {
+        if (journal.record_accepted(message(id, random() % 1000), 1)) {
           alive[id] = 0;
         } else if (!alive.empty()) {
           ++refused;
           const auto some = std::next(alive.begin(), static_cast<std::ptrdiff_t>(random() % alive.size()));
           if (some->second < 6 && random() % 2 == 0) {
-            some->second += journal.attempt(some->first, some->second, 1, 0);
+            some->second += journal.record_attempt(some->first, some->second, 1, 0);
           } else {
-            journal.done(some->first);
+            journal.record_done(some->first);
             alive.erase(some);
           }
         }
       }
-      waited += !journal.caught_up();
-      if (out) journal.end_sync(sync, Journal::carry_out(files, sync));
+      waited += !journal.has_no_backlog();
+      if (out) journal.end_sync(sync, Journal::execute_sync(files, sync));
       if (i % 10 != 9) continue;
-      const uint64_t position = journal.position();
-      for (int rounds = 0; !(journal.durable(position) && journal.caught_up()); ++rounds) {
+      const uint64_t position = journal.written_position();
+      for (int rounds = 0; !(journal.is_durable(position) && journal.has_no_backlog()); ++rounds) {
         ASSERT_LT(rounds, 10) << "seed " << seed << " step " << i << ": it stands still";
-        journal.tidy(4096);
-        if (!journal.sync_wanted()) continue;
-        const Journal::Sync next = journal.begin_sync();
-        journal.end_sync(next, Journal::carry_out(files, next));
+        journal.compact(4096);
+        if (!journal.needs_sync()) continue;
+        const Journal::SyncRequest next = journal.begin_sync();
+        journal.end_sync(next, Journal::execute_sync(files, next));
       }
     }
-    ASSERT_LE(files.most, disk) << "seed " << seed;
+    ASSERT_LE(files.max_used_bytes, disk) << "seed " << seed;
   }
   EXPECT_GT(refused, 1000u);
   EXPECT_GT(waited, 100u);
@@ -288,27 +290,27 @@
 TEST(Group, NothingIsDurableBeforeItsSyncHasEnded) {
   MemoryFiles files;
   Journal journal(files, group(100'000, 1));
-  EXPECT_FALSE(journal.sync_wanted());
-  ASSERT_TRUE(journal.accepted(message("a", 10), 1));
-  const uint64_t first = journal.position();
-  EXPECT_FALSE(journal.durable(first));
-  ASSERT_TRUE(journal.sync_wanted());
-  const Journal::Sync sync = journal.begin_sync();
-  ASSERT_TRUE(journal.accepted(message("b", 10), 1));
-  EXPECT_FALSE(journal.sync_wanted()) << "one at a time";
-  journal.end_sync(sync, Journal::carry_out(files, sync));
-  EXPECT_TRUE(journal.durable(first));
-  EXPECT_FALSE(journal.durable(journal.position())) << "it came while the sync was out";
-  EXPECT_TRUE(journal.sync_wanted());
+  EXPECT_FALSE(journal.needs_sync());
+  ASSERT_TRUE(journal.record_accepted(message("a", 10), 1));
+  const uint64_t first = journal.written_position();
+  EXPECT_FALSE(journal.is_durable(first));
+  ASSERT_TRUE(journal.needs_sync());
+  const Journal::SyncRequest sync = journal.begin_sync();
+  ASSERT_TRUE(journal.record_accepted(message("b", 10), 1));
+  EXPECT_FALSE(journal.needs_sync()) << "one at a time";
+  journal.end_sync(sync, Journal::execute_sync(files, sync));
+  EXPECT_TRUE(journal.is_durable(first));
+  EXPECT_FALSE(journal.is_durable(journal.written_position())) << "it came while the sync was out";
+  EXPECT_TRUE(journal.needs_sync());
 }
 
 TEST(Group, ProcessDurabilityNeverSyncs) {
   MemoryFiles files;
   files.fail_sync = true;
   Journal journal(files, {100'000, "n0", 6, 1});
-  ASSERT_TRUE(journal.accepted(message("a", 10), 1));
-  EXPECT_TRUE(journal.durable(journal.position()));
-  EXPECT_FALSE(journal.sync_wanted());
+  ASSERT_TRUE(journal.record_accepted(message("a", 10), 1));
+  EXPECT_TRUE(journal.is_durable(journal.written_position()));
+  EXPECT_FALSE(journal.needs_sync());
 }
 
 }  // namespace
