--- a/ctl/fleet.cpp
+++ b/ctl/fleet.cpp
@@ -22,7 +22,7 @@
   register_pb::Frame frame;
   question.set_number(1);
   *frame.mutable_ask() = std::move(question);
-  const std::string out = fleet::pack(frame);
+  const std::string out = fleet::encode_frame(frame);
 
   boost::asio::io_context io;
   tcp::socket socket(io);
@@ -38,7 +38,7 @@
                              }
                              in.append(bytes.data(), got);
                              bool bad = false;
-                             const auto told = fleet::unpack(in, bad);
+                             const auto told = fleet::decode_frame(in, bad);
                              if (bad) {
                                reply.text = address + " answers what is no frame";
                              } else if (!told) {
--- a/ctl/fleet_verbs.cpp
+++ b/ctl/fleet_verbs.cpp
@@ -30,7 +30,7 @@
   for (const auto& defect : defects) {
     err << file;
     if (defect.line > 0) err << ":" << defect.line;
-    err << ": " << defect.what << "\n";
+    err << ": " << defect.message << "\n";
   }
   return 2;
 }
@@ -60,7 +60,7 @@
     const auto text = read_file(path, err);
     if (!text) return std::nullopt;
     const auto parsed = shards::parse_map(*text);
-    if (const auto* defects = std::get_if<std::vector<shards::Defect>>(&parsed)) {
+    if (const auto* defects = std::get_if<std::vector<shards::ValidationError>>(&parsed)) {
       print_errors(path, *defects, err);
       return std::nullopt;
     }
@@ -70,12 +70,12 @@
   int check_map(std::ostream& out, std::ostream& err) const {
     const auto proposed = map(file, err);
     if (!proposed) return 2;
-    shards::Against against;
+    shards::ValidationContext against;
     std::optional<shards::Map> before;
     if (!present.empty()) {
       before = map(present, err);
       if (!before) return 2;
-      against.present = &*before;
+      against.current = &*before;
     }
     std::vector<shards::Member> known;
     for (const std::string& name : members) known.push_back({name, 1, "", true, false, true});
@@ -90,7 +90,7 @@
     const auto text = read_file(path, err);
     if (!text) return std::nullopt;
     const auto parsed = freeze::parse_calendar(*text);
-    if (const auto* defects = std::get_if<std::vector<freeze::Defect>>(&parsed)) {
+    if (const auto* defects = std::get_if<std::vector<freeze::ValidationError>>(&parsed)) {
       print_errors(path, *defects, err);
       return std::nullopt;
     }
@@ -105,15 +105,15 @@
       err << "--at is wrong; expected a time with an offset, as 2027-04-12T00:00:00+07:00\n";
       return 2;
     }
-    const auto kind = freeze::kind_of(change);
+    const auto kind = freeze::parse_change_kind(change);
     if (!kind) {
       err << "--change is wrong; expected reload, settings, map, limits or calendar\n";
       return 2;
     }
     freeze::Change what{*kind, {}};
     if (destination) what.destinations.insert(*destination);
-    const auto verdict = freeze::judge(*known, what, {*when, *when});
-    out << (verdict.closed ? verdict.why : std::string(freeze::name(*kind)) + " is open") << "\n";
+    const auto verdict = freeze::evaluate(*known, what, {*when, *when});
+    out << (verdict.closed ? verdict.reason : std::string(freeze::name(*kind)) + " is open") << "\n";
     return verdict.closed ? 1 : 0;
   }
 
--- a/fleet/config.cpp
+++ b/fleet/config.cpp
@@ -33,9 +33,9 @@
     out_.listen = address(root, "listen");
     out_.folder = word(root, "folder", 4096);
     if (root.contains("connections"))
-      out_.connections = static_cast<size_t>(number(root, "connections", 4, 4096));
+      out_.max_connections = static_cast<size_t>(number(root, "connections", 4, 4096));
     if (root.contains("queued_bytes")) {
-      out_.most_queued = static_cast<size_t>(number(root, "queued_bytes", 65'536, 1 << 30));
+      out_.max_queued_bytes = static_cast<size_t>(number(root, "queued_bytes", 65'536, 1 << 30));
     }
     voters(root);
     if (const auto* timing = section(root, "timing")) times(*timing);
@@ -121,7 +121,7 @@
     for (const auto& item : *node.as_array()) {
       const toml::table& table = *item.as_table();
       known(table, {"name", "id", "address"});
-      reg::Peer peer;
+      reg::Voter peer;
       peer.name = name(table);
       peer.slot = static_cast<uint32_t>(number(table, "id", 1, 65535));
       if (!names.insert(peer.name).second) fault(line(table), "voter '" + peer.name + "' is given twice");
@@ -146,34 +146,34 @@
       using Number = std::remove_reference_t<decltype(to)>;
       if (table.contains(key)) to = static_cast<Number>(number(table, key, 10, 600'000) * unit);
     };
-    set("beat_ms", node.beat_ms);
+    set("beat_ms", node.relay_heartbeat_ms);
     set("lease_ms", node.lease_ms);
-    set("dead_ms", node.dead_ms);
-    set("election_ms", node.raft.election_ms);
-    set("heartbeat_ms", node.raft.heartbeat_ms);
-    set("confirm_ms", node.confirm_ms);
-    set("settle_ms", node.settle_ms);
-    set("propose_ms", node.propose_ms);
+    set("dead_ms", node.member_timeout_ms);
+    set("election_ms", node.raft.election_timeout_ms);
+    set("heartbeat_ms", node.raft.heartbeat_interval_ms);
+    set("confirm_ms", node.confirm_timeout_ms);
+    set("settle_ms", node.bootstrap_delay_ms);
+    set("propose_ms", node.propose_timeout_ms);
     set("clock_slack_ms", node.clock_slack_us, 1000);
   }
 
   void caps(const toml::table& table) {
     known(table,
           {"share_factor", "most_moved", "zones_apart", "guard_s", "rollout_s", "members", "snapshot_every"});
-    reg::Rules& rules = out_.node.rules;
-    if (table.contains("share_factor")) rules.map.share_factor = real(table, "share_factor", 1, 1000);
-    if (table.contains("most_moved")) rules.map.most_moved = real(table, "most_moved", 0, 1);
+    reg::StateMachineRules& rules = out_.node.rules;
+    if (table.contains("share_factor")) rules.map_limits.share_factor = real(table, "share_factor", 1, 1000);
+    if (table.contains("most_moved")) rules.map_limits.max_moved_share = real(table, "most_moved", 0, 1);
     if (const auto* apart = table.get("zones_apart")) {
       const auto value = apart->value_exact<bool>();
       if (!value) fault(line(*apart), "zones_apart is wrong; expected true or false");
-      rules.map.zones_apart = *value;
+      rules.map_limits.require_two_zones = *value;
     }
     if (table.contains("guard_s")) rules.guard_us = number(table, "guard_s", 0, 86'400) * 1'000'000;
-    if (table.contains("rollout_s")) rules.rollout_us = number(table, "rollout_s", 1, 86'400) * 1'000'000;
-    if (table.contains("members"))
-      rules.most_members = static_cast<size_t>(number(table, "members", 1, 4096));
+    if (table.contains("rollout_s"))
+      rules.rollout_timeout_us = number(table, "rollout_s", 1, 86'400) * 1'000'000;
+    if (table.contains("members")) rules.max_members = static_cast<size_t>(number(table, "members", 1, 4096));
     if (table.contains("snapshot_every")) {
-      out_.node.raft.snapshot_every = static_cast<unsigned>(number(table, "snapshot_every", 4, 1'000'000));
+      out_.node.raft.snapshot_interval = static_cast<unsigned>(number(table, "snapshot_every", 4, 1'000'000));
     }
   }
 
@@ -182,12 +182,13 @@
     const reg::NodeOptions& node = out_.node;
     const auto* timing = root.get("timing");
     const int at = timing == nullptr ? 1 : line(*timing);
-    if (node.lease_ms < 3 * node.beat_ms) fault(at, "lease_ms is too short; expected at least three beats");
-    if (node.dead_ms * 10 < node.lease_ms * 12)
+    if (node.lease_ms < 3 * node.relay_heartbeat_ms)
+      fault(at, "lease_ms is too short; expected at least three beats");
+    if (node.member_timeout_ms * 10 < node.lease_ms * 12)
       fault(at, "dead_ms is too short; expected 1.2 times lease_ms or more");
-    if (node.raft.election_ms < 2 * node.beat_ms)
+    if (node.raft.election_timeout_ms < 2 * node.relay_heartbeat_ms)
       fault(at, "election_ms is too short; expected at least two beats");
-    if (node.raft.heartbeat_ms * 2 > node.raft.election_ms) {
+    if (node.raft.heartbeat_interval_ms * 2 > node.raft.election_timeout_ms) {
       fault(at, "heartbeat_ms is too long; expected at most half of election_ms");
     }
   }
--- a/fleet/config.h
+++ b/fleet/config.h
@@ -15,8 +15,9 @@
   boost::asio::ip::tcp::endpoint listen;
   std::map<std::string, boost::asio::ip::tcp::endpoint> voters;
   std::filesystem::path folder;
-  size_t connections = 64;         // taken on at once; one for each relay, and for an operator's commands
-  size_t most_queued = 4'194'304;  // bytes waiting for one relay; beyond it the oldest frames are dropped
+  size_t max_connections = 64;  // taken on at once; one for each relay, and for an operator's commands
+  size_t max_queued_bytes =
+      4'194'304;  // bytes waiting for one relay; beyond it the oldest frames are dropped
 };
 
 // Throws std::invalid_argument with one line: file, line, what was expected.
--- a/fleet/fleet.h
+++ b/fleet/fleet.h
@@ -9,20 +9,20 @@
 
 namespace umberhoist::fleet {
 
-enum class Scouts {
+enum class TrialDuty {
   kShared,  // as without the fleet: each relay sends its even part
   kSelf,    // this relay sends them for all
   kOther,   // another does
 };
 
-struct Sight {  // times are microseconds of the steady clock
+struct HealthReport {  // times are microseconds of the steady clock
   int destination = 0;
-  int64_t out_since = 0;   // 0: no outage
-  int64_t back_since = 0;  // 0: still out
-  double base = 0;
-  bool served = false;
-  bool scouting = false;
-  bool by_owner = false;
+  int64_t outage_start = 0;    // 0: no outage
+  int64_t recovery_start = 0;  // 0: still out
+  double baseline_rate = 0;
+  bool recently_served = false;
+  bool can_send_trial = false;
+  bool from_owner = false;
 };
 
 struct Version {
@@ -34,18 +34,19 @@
  public:
   virtual ~Fleet() = default;
   // Whose the destination is, at this moment: a lease is looked at each time.
-  virtual Scouts scouts(int destination) = 0;
+  virtual TrialDuty trial_duty(int destination) = 0;
   virtual bool owns(int destination) = 0;
   // Whether others were heard lately, so that what they tell is the fleet's word.
-  virtual bool heard() = 0;
-  virtual std::vector<Sight> sights() = 0;
-  virtual void sees(std::vector<Sight> sights) = 0;
+  virtual bool is_confirmed() = 0;
+  virtual std::vector<HealthReport> health_reports() = 0;
+  virtual void report_health(std::vector<HealthReport> sights) = 0;
   // The version to run, and that it runs.
   virtual Version version() = 0;
-  virtual void runs(uint64_t number) = 0;
+  virtual void report_running_version(uint64_t number) = 0;
   // A configuration for all relays; `told` comes on the daemon's thread, with the reason if it was refused.
-  virtual void propose(std::string text, std::function<void(bool done, const std::string& why)> told) = 0;
-  virtual void leaving() = 0;
+  virtual void propose_version(std::string text,
+                               std::function<void(bool done, const std::string& why)> told) = 0;
+  virtual void announce_leaving() = 0;
 };
 
 }  // namespace umberhoist::fleet
--- a/fleet/links.cpp
+++ b/fleet/links.cpp
@@ -16,21 +16,21 @@
 
 }  // namespace
 
-std::string pack(const register_pb::Frame& frame) {
+std::string encode_frame(const register_pb::Frame& frame) {
   std::string out(kHead, '\0');
-  if (!frame.AppendToString(&out) || out.size() - kHead > kMostFrame) return "";
+  if (!frame.AppendToString(&out) || out.size() - kHead > kMaxFrameBytes) return "";
   const auto size = static_cast<uint32_t>(out.size() - kHead);
   for (size_t i = 0; i < kHead; ++i) out[i] = static_cast<char>(size >> (8 * i));
   return out;
 }
 
-std::optional<register_pb::Frame> unpack(std::string& bytes, bool& bad) {
+std::optional<register_pb::Frame> decode_frame(std::string& bytes, bool& bad) {
   bad = false;
   if (bytes.size() < kHead) return std::nullopt;
   uint32_t size = 0;
   for (size_t i = 0; i < kHead; ++i)
     size |= static_cast<uint32_t>(static_cast<unsigned char>(bytes[i])) << (8 * i);
-  bad = size > kMostFrame;
+  bad = size > kMaxFrameBytes;
   if (bad || bytes.size() - kHead < size) return std::nullopt;
   register_pb::Frame frame;
   bad = !frame.ParseFromArray(bytes.data() + kHead, static_cast<int>(size));
@@ -105,11 +105,11 @@
           self->heard();
           bool bad = false;
           while (self->owner_ != nullptr) {
-            const auto frame = unpack(self->in_, bad);
+            const auto frame = decode_frame(self->in_, bad);
             if (!frame) break;
             self->owner_->know(frame->from(), self);
             self->owner_->receive_(*frame, [weak = self->weak_from_this()](const register_pb::Frame& answer) {
-              if (const auto to = weak.lock()) to->send(pack(answer));
+              if (const auto to = weak.lock()) to->send(encode_frame(answer));
             });
           }
           if (bad) return self->end();
@@ -139,10 +139,10 @@
   bool writing_ = false;
 };
 
-Links::Links(boost::asio::io_context& io, const Config& config, Receive receive)
+Links::Links(boost::asio::io_context& io, const Config& config, ReceiveCallback receive)
     : io_(io),
-      most_connections_(config.connections),
-      most_queued_(config.most_queued),
+      most_connections_(config.max_connections),
+      most_queued_(config.max_queued_bytes),
       receive_(std::move(receive)),
       acceptor_(io, config.listen) {
   for (const auto& [name, address] : config.voters) {
@@ -197,7 +197,7 @@
 }
 
 void Links::send(const std::string& to, const register_pb::Frame& frame) {
-  std::string bytes = pack(frame);
+  std::string bytes = encode_frame(frame);
   const auto voter = voters_.find(to);
   if (voter != voters_.end()) {
     connect(voter->second);
--- a/fleet/links.h
+++ b/fleet/links.h
@@ -18,22 +18,22 @@
 
 namespace umberhoist::fleet {
 
-constexpr size_t kMostFrame = 20 * 1024 * 1024;  // a snapshot and its envelope
+constexpr size_t kMaxFrameBytes = 20 * 1024 * 1024;  // a snapshot and its envelope
 
 // Four bytes of length, least first, and the message. Empty: too large.
-std::string pack(const register_pb::Frame& frame);
+std::string encode_frame(const register_pb::Frame& frame);
 // The next whole frame in what was read, which loses it; nothing: more is needed, or (then `bad`) never
 // comes.
-std::optional<register_pb::Frame> unpack(std::string& bytes, bool& bad);
+std::optional<register_pb::Frame> decode_frame(std::string& bytes, bool& bad);
 
 class Links {
  public:
   using tcp = boost::asio::ip::tcp;
-  using Reply = std::function<void(const register_pb::Frame&)>;  // on the connection that it came on
-  using Receive = std::function<void(const register_pb::Frame&, const Reply&)>;
+  using ReplyCallback = std::function<void(const register_pb::Frame&)>;  // on the connection that it came on
+  using ReceiveCallback = std::function<void(const register_pb::Frame&, const ReplyCallback&)>;
 
   // Listens at once. Throws std::exception if it cannot.
-  Links(boost::asio::io_context& io, const Config& config, Receive receive);
+  Links(boost::asio::io_context& io, const Config& config, ReceiveCallback receive);
   ~Links();
 
   void send(const std::string& to, const register_pb::Frame& frame);
@@ -55,7 +55,7 @@
   boost::asio::io_context& io_;
   size_t most_connections_;
   size_t most_queued_;
-  Receive receive_;
+  ReceiveCallback receive_;
   tcp::acceptor acceptor_;
   std::map<std::string, Outgoing> voters_;
   std::set<std::shared_ptr<Connection>> taken_;
--- a/fleet/service.cpp
+++ b/fleet/service.cpp
@@ -45,7 +45,8 @@
         folder_(config.folder),
         files_(state::make_posix_files(config.folder)),
         links_(std::make_unique<Links>(
-            io_, config, [this](const Frame& frame, const Links::Reply& reply) { take(frame, reply); })),
+            io_, config,
+            [this](const Frame& frame, const Links::ReplyCallback& reply) { take(frame, reply); })),
         node_(std::make_unique<reg::Node>(
             config.node, *files_, seed, now(),
             [this](const std::string& to, const Frame& frame) { links_->send(to, frame); },
@@ -66,49 +67,50 @@
   }
 
   bool owns(int destination) override {
-    return view()->standing(shards::key_of(destination), lease_clock()) == reg::Standing::kOwner;
+    return view()->ownership(shards::key_of(destination), lease_clock()) == reg::Ownership::kOwner;
   }
 
   // Another relay scouts only if its owner says that it does: one that has nothing to scout with finds no
   // end.
-  Scouts scouts(int destination) override {
-    switch (view()->standing(shards::key_of(destination), lease_clock())) {
-      case reg::Standing::kOwner:
-        return Scouts::kSelf;
-      case reg::Standing::kAlone:
-        return Scouts::kShared;
-      case reg::Standing::kOther:
+  TrialDuty trial_duty(int destination) override {
+    switch (view()->ownership(shards::key_of(destination), lease_clock())) {
+      case reg::Ownership::kOwner:
+        return TrialDuty::kSelf;
+      case reg::Ownership::kUncoordinated:
+        return TrialDuty::kShared;
+      case reg::Ownership::kOther:
         break;
     }
     const std::lock_guard lock(mutex_);
-    for (const Sight& sight : sights_) {
-      if (sight.destination == destination && sight.by_owner && sight.scouting) return Scouts::kOther;
+    for (const HealthReport& sight : sights_) {
+      if (sight.destination == destination && sight.from_owner && sight.can_send_trial)
+        return TrialDuty::kOther;
     }
-    return Scouts::kShared;
+    return TrialDuty::kShared;
   }
 
-  bool heard() override { return view()->confirmed(lease_clock()); }
+  bool is_confirmed() override { return view()->confirmed(lease_clock()); }
 
-  std::vector<Sight> sights() override {
+  std::vector<HealthReport> health_reports() override {
     const std::lock_guard lock(mutex_);
     return sights_;
   }
 
-  void sees(std::vector<Sight> sights) override {
+  void report_health(std::vector<HealthReport> sights) override {
     boost::asio::post(io_, [this, sights = std::move(sights)] {
       const int64_t offset = daemon_offset();
-      std::vector<reg::Sight> out;
-      for (const Sight& s : sights) {
-        reg::Sight sight;
+      std::vector<reg::HealthReport> out;
+      for (const HealthReport& s : sights) {
+        reg::HealthReport sight;
         sight.destination = s.destination;
-        sight.out_since = s.out_since == 0 ? 0 : s.out_since - offset;
-        sight.back_since = s.back_since == 0 ? 0 : s.back_since - offset;
-        sight.base = s.base;
-        sight.served = s.served;
-        sight.scouting = s.scouting;
+        sight.outage_start = s.outage_start == 0 ? 0 : s.outage_start - offset;
+        sight.recovery_start = s.recovery_start == 0 ? 0 : s.recovery_start - offset;
+        sight.baseline_rate = s.baseline_rate;
+        sight.recently_served = s.recently_served;
+        sight.can_send_trial = s.can_send_trial;
         out.push_back(sight);
       }
-      node_->sees(std::move(out));
+      node_->report_health(std::move(out));
     });
   }
 
@@ -117,14 +119,14 @@
     return version_;
   }
 
-  void runs(uint64_t number) override {
+  void report_running_version(uint64_t number) override {
     boost::asio::post(io_, [this, number] {
       Version now = version();
-      if (now.number != number || keep(now.text)) node_->runs_version(number);
+      if (now.number != number || keep(now.text)) node_->set_running_version(number);
     });
   }
 
-  void propose(std::string text, std::function<void(bool, const std::string&)> told) override {
+  void propose_version(std::string text, std::function<void(bool, const std::string&)> told) override {
     boost::asio::post(io_, [this, text = std::move(text), told = std::move(told)] {
       node_->propose_version(text, now(), [this, told](bool done, const std::string& why) {
         boost::asio::post(daemon_, [told, done, why] { told(done, why); });
@@ -133,8 +135,8 @@
     });
   }
 
-  void leaving() override {
-    boost::asio::post(io_, [this] { node_->leaving(); });
+  void announce_leaving() override {
+    boost::asio::post(io_, [this] { node_->set_leaving(); });
   }
 
  private:
@@ -152,12 +154,12 @@
     return good && !error && files_->sync_folder();
   }
 
-  std::shared_ptr<const reg::View> view() const { return view_.load(); }
+  std::shared_ptr<const reg::OwnershipView> view() const { return view_.load(); }
 
-  void take(const Frame& frame, const Links::Reply& reply) {
+  void take(const Frame& frame, const Links::ReplyCallback& reply) {
     if (frame.has_ask()) {
       const uint64_t number = frame.ask().number();
-      node_->ask(frame.ask(), now(), [reply, number](bool done, const std::string& text) {
+      node_->handle_request(frame.ask(), now(), [reply, number](bool done, const std::string& text) {
         Frame out;
         out.mutable_told()->set_number(number);
         out.mutable_told()->set_done(done);
@@ -181,14 +183,14 @@
   }
 
   void publish() {
-    view_.store(std::make_shared<const reg::View>(node_->view()));
+    view_.store(std::make_shared<const reg::OwnershipView>(node_->view()));
     const int64_t offset = daemon_offset();
     const std::lock_guard lock(mutex_);
     sights_.clear();
-    for (const reg::Sight& s : node_->sights(lease_clock())) {
-      sights_.push_back({static_cast<int>(s.destination), s.out_since == 0 ? 0 : s.out_since + offset,
-                         s.back_since == 0 ? 0 : s.back_since + offset, s.base, s.served, s.scouting,
-                         s.by_owner});
+    for (const reg::HealthReport& s : node_->health_reports(lease_clock())) {
+      sights_.push_back({static_cast<int>(s.destination), s.outage_start == 0 ? 0 : s.outage_start + offset,
+                         s.recovery_start == 0 ? 0 : s.recovery_start + offset, s.baseline_rate,
+                         s.recently_served, s.can_send_trial, s.from_owner});
     }
     const register_pb::Version& version = node_->version();
     // Not before a leader's word on it: the tail of a log may never have been agreed on.
@@ -204,9 +206,9 @@
   std::unique_ptr<Links> links_;
   std::unique_ptr<reg::Node> node_;
   boost::asio::steady_timer timer_;
-  std::atomic<std::shared_ptr<const reg::View>> view_;
+  std::atomic<std::shared_ptr<const reg::OwnershipView>> view_;
   std::mutex mutex_;
-  std::vector<Sight> sights_;
+  std::vector<HealthReport> sights_;
   Version version_;
   std::thread thread_;
 };
@@ -219,7 +221,7 @@
   return std::make_unique<Service>(daemon, config, seed);
 }
 
-std::string kept_version(const Config& config) {
+std::string load_saved_version(const Config& config) {
   std::ifstream in(config.folder / kVersionFile, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
--- a/fleet/service.h
+++ b/fleet/service.h
@@ -16,6 +16,6 @@
 
 // The common part of the version that this relay ran last, as the register told it: what a start runs until
 // it hears of a newer one, whatever the relay's own file says. Empty: none.
-std::string kept_version(const Config& config);
+std::string load_saved_version(const Config& config);
 
 }  // namespace umberhoist::fleet
--- a/freeze/calendar.cpp
+++ b/freeze/calendar.cpp
@@ -27,7 +27,7 @@
 
 class Parser {
  public:
-  std::variant<Calendar, std::vector<Defect>> run(std::string_view text) {
+  std::variant<Calendar, std::vector<ValidationError>> run(std::string_view text) {
     try {
       read(state::parse_toml(text));
     } catch (const toml::parse_error& error) {
@@ -35,7 +35,7 @@
     }
     if (!defects_.empty()) {
       std::stable_sort(defects_.begin(), defects_.end(),
-                       [](const Defect& a, const Defect& b) { return a.line < b.line; });
+                       [](const ValidationError& a, const ValidationError& b) { return a.line < b.line; });
       return defects_;
     }
     std::sort(out_.windows.begin(), out_.windows.end(), [](auto& a, auto& b) { return a.id < b.id; });
@@ -57,8 +57,8 @@
     if (windows == nullptr) return;
     if (!windows->is_array_of_tables())
       return fault(line(*windows), "window is no table; expected [[window]]");
-    if (windows->as_array()->size() > kMostWindows) {
-      return fault(line(*windows), "more than " + std::to_string(kMostWindows) + " windows");
+    if (windows->as_array()->size() > kMaxWindows) {
+      return fault(line(*windows), "more than " + std::to_string(kMaxWindows) + " windows");
     }
     for (const auto& item : *windows->as_array()) window(*item.as_table());
   }
@@ -68,9 +68,9 @@
     if (list == nullptr) return fault(line(node), "approvers is wrong; expected a list of names");
     for (const auto& item : *list) {
       const auto text = item.value_exact<std::string>();
-      if (!text || text->empty() || text->size() > kMostName) {
+      if (!text || text->empty() || text->size() > kMaxNameBytes) {
         fault(line(item),
-              "approvers is wrong; expected names of 1 to " + std::to_string(kMostName) + " bytes");
+              "approvers is wrong; expected names of 1 to " + std::to_string(kMaxNameBytes) + " bytes");
       } else if (!to.insert(*text).second) {
         fault(line(item), "approver '" + *text + "' is given twice");
       }
@@ -81,10 +81,10 @@
     const auto* node = table.get(key);
     if (node == nullptr && !needed) return;
     const auto text = node == nullptr ? std::nullopt : node->value_exact<std::string>();
-    if (!text || text->empty() || text->size() > kMostName) {
-      return fault(
-          node == nullptr ? line(table) : line(*node),
-          std::string(key) + " is missing or wrong; expected 1 to " + std::to_string(kMostName) + " bytes");
+    if (!text || text->empty() || text->size() > kMaxNameBytes) {
+      return fault(node == nullptr ? line(table) : line(*node), std::string(key) +
+                                                                    " is missing or wrong; expected 1 to " +
+                                                                    std::to_string(kMaxNameBytes) + " bytes");
     }
     to = *text;
   }
@@ -144,11 +144,11 @@
     }
     for (const auto& item : *list) {
       const auto text = item.value_exact<std::string>();
-      const auto kind = text ? kind_of(*text) : std::nullopt;
+      const auto kind = text ? parse_change_kind(*text) : std::nullopt;
       if (!kind) {
         fault(line(item), "changes is wrong; expected reload, settings, map, limits or calendar");
       } else {
-        out.changes.insert(*kind);
+        out.change_kinds.insert(*kind);
       }
     }
   }
@@ -170,18 +170,18 @@
 
   Calendar out_;
   std::map<std::string, int> ids_;
-  std::vector<Defect> defects_;
+  std::vector<ValidationError> defects_;
 };
 
 bool in_scope(const Window& window, const Change& change) {
-  if (!window.changes.empty() && !window.changes.contains(change.kind)) return false;
+  if (!window.change_kinds.empty() && !window.change_kinds.contains(change.kind)) return false;
   if (window.destinations.empty() || change.destinations.empty()) return true;
   return std::any_of(change.destinations.begin(), change.destinations.end(),
                      [&](int64_t d) { return window.destinations.contains(d); });
 }
 
 // Within its notice a window binds already whoever would lessen it.
-bool binds(const Window& window, Bounds now) {
+bool binds(const Window& window, TimeBounds now) {
   return now.latest >= window.start - window.notice_s * kSecond && now.earliest < window.end;
 }
 
@@ -191,36 +191,36 @@
     if (all.empty()) return true;
     return !some.empty() && std::includes(all.begin(), all.end(), some.begin(), some.end());
   };
-  return b.start <= a.start && b.end >= a.end && within(b.changes, a.changes) &&
+  return b.start <= a.start && b.end >= a.end && within(b.change_kinds, a.change_kinds) &&
          within(b.destinations, a.destinations) && b.notice_s >= a.notice_s;
 }
 
 }  // namespace
 
-const char* name(Kind kind) {
+const char* name(ChangeKind kind) {
   switch (kind) {
-    case Kind::kReload:
+    case ChangeKind::kReload:
       return "reload";
-    case Kind::kSettings:
+    case ChangeKind::kSettings:
       return "settings";
-    case Kind::kMap:
+    case ChangeKind::kMap:
       return "map";
-    case Kind::kLimits:
+    case ChangeKind::kLimits:
       return "limits";
-    case Kind::kCalendar:
+    case ChangeKind::kCalendar:
       return "calendar";
   }
   return "";
 }
 
-std::optional<Kind> kind_of(std::string_view text) {
-  for (const Kind kind : kKinds) {
+std::optional<ChangeKind> parse_change_kind(std::string_view text) {
+  for (const ChangeKind kind : kChangeKinds) {
     if (text == name(kind)) return kind;
   }
   return std::nullopt;
 }
 
-std::variant<Calendar, std::vector<Defect>> parse_calendar(std::string_view toml) {
+std::variant<Calendar, std::vector<ValidationError>> parse_calendar(std::string_view toml) {
   return Parser().run(toml);
 }
 
@@ -237,7 +237,7 @@
   }
 }
 
-std::string text(Instant instant) {
+std::string format_instant(Instant instant) {
   using namespace std::chrono;
   const sys_time<microseconds> when{microseconds(instant)};
   const auto day = floor<days>(when);
@@ -251,7 +251,7 @@
   return raw;
 }
 
-Verdict judge(const Calendar& calendar, const Change& change, Bounds now) {
+FreezeDecision evaluate(const Calendar& calendar, const Change& change, TimeBounds now) {
   std::vector<const Window*> scope;
   for (const Window& window : calendar.windows) {
     if (in_scope(window, change)) scope.push_back(&window);
@@ -259,23 +259,24 @@
   std::sort(scope.begin(), scope.end(), [](const Window* a, const Window* b) {
     return a->start != b->start ? a->start < b->start : a->id < b->id;
   });
-  Verdict out;
+  FreezeDecision out;
   for (const Window* window : scope) {
     if (!out.closed) {
       if (now.latest < window->start || now.earliest >= window->end) continue;
       out = {true, window->id, window->end, ""};
-    } else if (window->start <= out.end) {  // joins on
-      out.end = std::max(out.end, window->end);
+    } else if (window->start <= out.reopens_at) {  // joins on
+      out.reopens_at = std::max(out.reopens_at, window->end);
     }
   }
   if (out.closed) {
-    out.why = std::string(name(change.kind)) + " is closed by window '" + out.window + "' until " +
-              text(out.end) + "; wait until then, or have two approvers grant an exception for this change";
+    out.reason = std::string(name(change.kind)) + " is closed by window '" + out.window_id + "' until " +
+                 format_instant(out.reopens_at) +
+                 "; wait until then, or have two approvers grant an exception for this change";
   }
   return out;
 }
 
-std::vector<std::string> check_edit(const Calendar& present, const Calendar& next, Bounds now) {
+std::vector<std::string> edit_violations(const Calendar& present, const Calendar& next, TimeBounds now) {
   std::vector<std::string> out;
   bool bound = false;
   for (const Window& window : present.windows) {
@@ -284,8 +285,8 @@
     const auto it = std::find_if(next.windows.begin(), next.windows.end(),
                                  [&](const Window& other) { return other.id == window.id; });
     if (it != next.windows.end() && covers(*it, window)) continue;
-    out.push_back("window '" + window.id + "' is in force or within its notice until " + text(window.end) +
-                  "; it may be extended, but not " +
+    out.push_back("window '" + window.id + "' is in force or within its notice until " +
+                  format_instant(window.end) + "; it may be extended, but not " +
                   (it == next.windows.end() ? "removed" : "shortened, moved or narrowed") +
                   " without an exception by two approvers");
   }
@@ -295,7 +296,7 @@
   return out;
 }
 
-std::optional<Instant> next_start(const Calendar& calendar, const Change& change, Instant from) {
+std::optional<Instant> next_window_start(const Calendar& calendar, const Change& change, Instant from) {
   std::optional<Instant> out;
   for (const Window& window : calendar.windows) {
     if (in_scope(window, change) && window.start > from && (!out || window.start < *out)) out = window.start;
--- a/freeze/calendar.h
+++ b/freeze/calendar.h
@@ -15,27 +15,29 @@
 
 using Instant = int64_t;  // microseconds of UTC since 1970
 
-enum class Kind { kReload, kSettings, kMap, kLimits, kCalendar };
-inline constexpr Kind kKinds[] = {Kind::kReload, Kind::kSettings, Kind::kMap, Kind::kLimits, Kind::kCalendar};
-const char* name(Kind kind);
-std::optional<Kind> kind_of(std::string_view name);
+enum class ChangeKind { kReload, kSettings, kMap, kLimits, kCalendar };
+inline constexpr ChangeKind kChangeKinds[] = {ChangeKind::kReload, ChangeKind::kSettings, ChangeKind::kMap,
+                                              ChangeKind::kLimits, ChangeKind::kCalendar};
+const char* name(ChangeKind kind);
+std::optional<ChangeKind> parse_change_kind(std::string_view name);
 
-constexpr size_t kMostWindows = 1000;
-constexpr size_t kMostName = 64;
+constexpr size_t kMaxWindows = 1000;
+constexpr size_t kMaxNameBytes = 64;
 
 struct Window {
   std::string id;
   std::string name;
-  Instant start = 0;               // inside
-  Instant end = 0;                 // outside
-  std::set<Kind> changes;          // empty: all
-  std::set<int64_t> destinations;  // empty: all
+  Instant start = 0;                  // inside
+  Instant end = 0;                    // outside
+  std::set<ChangeKind> change_kinds;  // empty: all
+  std::set<int64_t> destinations;     // empty: all
   std::string declared_by;
   int64_t notice_s = 0;  // so long before its start it already binds whoever would shorten, move or remove it
   int line = 0;
   bool operator==(const Window& o) const {
-    return id == o.id && name == o.name && start == o.start && end == o.end && changes == o.changes &&
-           destinations == o.destinations && declared_by == o.declared_by && notice_s == o.notice_s;
+    return id == o.id && name == o.name && start == o.start && end == o.end &&
+           change_kinds == o.change_kinds && destinations == o.destinations && declared_by == o.declared_by &&
+           notice_s == o.notice_s;
   }
 };
 
@@ -45,43 +47,43 @@
   bool operator==(const Calendar&) const = default;
 };
 
-struct Defect {
+struct ValidationError {
   int line = 0;
-  std::string what;
-  bool operator==(const Defect&) const = default;
+  std::string message;
+  bool operator==(const ValidationError&) const = default;
 };
 
-std::variant<Calendar, std::vector<Defect>> parse_calendar(std::string_view toml);
+std::variant<Calendar, std::vector<ValidationError>> parse_calendar(std::string_view toml);
 
 // "2027-04-12T00:00:00+07:00", with an offset or Z; fractions of a second to the microsecond.
 std::optional<Instant> parse_instant(std::string_view text);
-std::string text(Instant instant);  // in UTC
+std::string format_instant(Instant instant);  // in UTC
 
-struct Bounds {  // the true time is in between, both ends inside
+struct TimeBounds {  // the true time is in between, both ends inside
   Instant earliest = 0;
   Instant latest = 0;
 };
 
 struct Change {
-  Kind kind = Kind::kSettings;
+  ChangeKind kind = ChangeKind::kSettings;
   std::set<int64_t> destinations;  // that it touches; empty: any
 };
 
-struct Verdict {
+struct FreezeDecision {
   bool closed = false;
-  std::string window;  // its id; the first one in scope, by start
-  Instant end = 0;     // when changes of this kind are open again, windows that join on included
-  std::string why;     // one sentence: window, end and the way out
+  std::string window_id;   // its id; the first one in scope, by start
+  Instant reopens_at = 0;  // when changes of this kind are open again, windows that join on included
+  std::string reason;      // one sentence: window, end and the way out
 };
 
-Verdict judge(const Calendar& calendar, const Change& change, Bounds now);
+FreezeDecision evaluate(const Calendar& calendar, const Change& change, TimeBounds now);
 
 // What stands in the way of taking `next` in place of `present`: windows that are in force or within their
 // notice may only be extended, and others declared. Empty: nothing. Approvers may change while no window
 // binds.
-std::vector<std::string> check_edit(const Calendar& present, const Calendar& next, Bounds now);
+std::vector<std::string> edit_violations(const Calendar& present, const Calendar& next, TimeBounds now);
 
 // The first start after `from` of a window in scope; nothing: none comes.
-std::optional<Instant> next_start(const Calendar& calendar, const Change& change, Instant from);
+std::optional<Instant> next_window_start(const Calendar& calendar, const Change& change, Instant from);
 
 }  // namespace umberhoist::freeze
--- a/register/machine.cpp
+++ b/register/machine.cpp
@@ -7,8 +7,8 @@
 namespace umberhoist::reg {
 namespace {
 
-Result no(std::string reason) { return {false, std::move(reason)}; }
-const Result kDone{true, ""};
+CommandResult no(std::string reason) { return {false, std::move(reason)}; }
+const CommandResult kDone{true, ""};
 
 constexpr size_t kMostName = 64;
 
@@ -64,7 +64,7 @@
     to->set_name(window.name);
     to->set_start(window.start);
     to->set_end(window.end);
-    for (const freeze::Kind kind : window.changes) to->add_change(freeze::name(kind));
+    for (const freeze::ChangeKind kind : window.change_kinds) to->add_change(freeze::name(kind));
     for (const int64_t destination : window.destinations) to->add_destination(destination);
     to->set_declared_by(window.declared_by);
     to->set_notice_s(window.notice_s);
@@ -82,7 +82,7 @@
     to.start = window.start();
     to.end = window.end();
     for (const std::string& kind : window.change()) {
-      if (const auto known = freeze::kind_of(kind)) to.changes.insert(*known);
+      if (const auto known = freeze::parse_change_kind(kind)) to.change_kinds.insert(*known);
     }
     to.destinations.insert(window.destination().begin(), window.destination().end());
     to.declared_by = window.declared_by();
@@ -94,22 +94,22 @@
   return out;
 }
 
-void Machine::restore(pb::State state) {
+void StateMachine::restore(pb::State state) {
   state_ = std::move(state);
   calendar_ = from_pb(state_.calendar());
 }
 
-std::string Machine::bytes() const { return state_.SerializeAsString(); }
-uint64_t Machine::digest() const { return digest_of(bytes()); }
+std::string StateMachine::serialize() const { return state_.SerializeAsString(); }
+uint64_t StateMachine::digest() const { return digest_of(serialize()); }
 
-shards::Map Machine::map() const { return from_pb(state_.map()); }
+shards::Map StateMachine::map() const { return from_pb(state_.map()); }
 
-std::optional<shards::Map> Machine::proposed() const {
+std::optional<shards::Map> StateMachine::proposed() const {
   if (state_.proposed().epoch() == 0) return std::nullopt;
   return from_pb(state_.proposed());
 }
 
-std::vector<shards::Member> Machine::members() const {
+std::vector<shards::Member> StateMachine::members() const {
   std::vector<shards::Member> out;
   for (const pb::Member& m : state_.member()) {
     out.push_back(
@@ -118,26 +118,26 @@
   return out;
 }
 
-const pb::Member* Machine::member(const std::string& name) const {
+const pb::Member* StateMachine::member(const std::string& name) const {
   const int at = place(state_.member(), name);
   return at < state_.member_size() && state_.member(at).name() == name ? &state_.member(at) : nullptr;
 }
 
 // A clock that went back does not open what was closed: what was surely past before, is past.
-freeze::Bounds Machine::bounds(int64_t earliest, int64_t latest) const {
+freeze::TimeBounds StateMachine::time_bounds(int64_t earliest, int64_t latest) const {
   return {earliest, std::max(latest, state_.floor())};
 }
 
-freeze::Verdict Machine::judge(const freeze::Change& change, freeze::Bounds now) const {
-  return freeze::judge(calendar_, change, bounds(now.earliest, now.latest));
+freeze::FreezeDecision StateMachine::evaluate(const freeze::Change& change, freeze::TimeBounds now) const {
+  return freeze::evaluate(calendar_, change, time_bounds(now.earliest, now.latest));
 }
 
-Result Machine::apply(uint64_t index, const pb::Command& command) {
+CommandResult StateMachine::apply(uint64_t index, const pb::Command& command) {
   if (index <= state_.index()) return no("command " + std::to_string(index) + " was applied before");
   state_.set_index(index);
   if (command.earliest() > command.latest()) return no("its time ends before it begins");
-  freeze::Bounds now = bounds(command.earliest(), command.latest());
-  now.latest += rules_.late_us;
+  freeze::TimeBounds now = time_bounds(command.earliest(), command.latest());
+  now.latest += rules_.commit_margin_us;
   state_.set_floor(std::max(state_.floor(), command.earliest()));
   switch (command.what_case()) {
     case pb::Command::kMembers:
@@ -166,7 +166,7 @@
   return no("a command that this program does not know");
 }
 
-Result Machine::members(const pb::Members& command) {
+CommandResult StateMachine::members(const pb::Members& command) {
   for (const pb::Member& seen : command.seen()) {
     if (seen.name().empty() || seen.name().size() > kMostName || !(seen.weight() >= 0)) continue;
     const int at = place(state_.member(), seen.name());
@@ -174,7 +174,7 @@
     if (at < state_.member_size() && state_.member(at).name() == seen.name()) {
       member = state_.mutable_member(at);
     } else {
-      if (state_.member_size() >= static_cast<int>(rules_.most_members))
+      if (state_.member_size() >= static_cast<int>(rules_.max_members))
         return no("no room for another member");
       insert(state_.mutable_member(), at, pb::Member());
       member = state_.mutable_member(at);
@@ -191,7 +191,7 @@
   return kDone;
 }
 
-bool Machine::excepted(uint64_t digest, freeze::Bounds now) {
+bool StateMachine::excepted(uint64_t digest, freeze::TimeBounds now) {
   std::vector<pb::Approval*> valid;
   for (pb::Approval& approval : *state_.mutable_approval()) {
     if (approval.digest() == digest && !approval.used() && now.latest < approval.until() &&
@@ -204,7 +204,8 @@
   return true;
 }
 
-Result Machine::propose_map(const pb::ProposeMap& command, freeze::Bounds now, uint64_t index) {
+CommandResult StateMachine::propose_map(const pb::ProposeMap& command, freeze::TimeBounds now,
+                                        uint64_t index) {
   // Said again, as where an answer got lost, it is done.
   if (from_pb(command.map()) == from_pb(state_.proposed()) || from_pb(command.map()) == map()) return kDone;
   if (state_.proposed().epoch() != 0) {
@@ -214,19 +215,20 @@
   const shards::Map present = map();
   const shards::Map next = from_pb(command.map());
   const auto all = members();
-  const shards::Against against{present.epoch == 0 ? nullptr : &present, &all, rules_.map,
-                                command.repair() ? shards::Step::kRepair : shards::Step::kRebalance};
+  const shards::ValidationContext against{
+      present.epoch == 0 ? nullptr : &present, &all, rules_.map_limits,
+      command.repair() ? shards::MapChangeType::kRepair : shards::MapChangeType::kRebalance};
   const auto defects = shards::validate(next, against);
   if (!defects.empty()) {
     std::string all_of_them;
-    for (const auto& defect : defects) all_of_them += (all_of_them.empty() ? "" : "; ") + defect.what;
+    for (const auto& defect : defects) all_of_them += (all_of_them.empty() ? "" : "; ") + defect.message;
     return no(all_of_them);
   }
   // The first map takes nothing from anybody, and a repair follows a fact.
   bool exception = false;
   if (!command.repair() && present.epoch != 0) {
-    const auto verdict = freeze::judge(calendar_, {freeze::Kind::kMap, {}}, now);
-    if (verdict.closed && !(exception = excepted(digest_of(next), now))) return no(verdict.why);
+    const auto verdict = freeze::evaluate(calendar_, {freeze::ChangeKind::kMap, {}}, now);
+    if (verdict.closed && !(exception = excepted(digest_of(next), now))) return no(verdict.reason);
   }
   state_.set_proposed_excepted(exception);
   *state_.mutable_proposed() = command.map();
@@ -236,49 +238,50 @@
 }
 
 // What was right when it was proposed may not be now: an owner may have died since.
-Result Machine::commit_map(const pb::CommitMap& command, freeze::Bounds now, uint64_t index) {
+CommandResult StateMachine::commit_map(const pb::CommitMap& command, freeze::TimeBounds now, uint64_t index) {
   if (state_.proposed().epoch() == 0 || command.map_index() != state_.map_index()) {
     return no("it is not the map that is being prepared");
   }
   const shards::Map present = map();
   const shards::Map next = from_pb(state_.proposed());
   const auto all = members();
-  shards::Against against{present.epoch == 0 ? nullptr : &present, &all, rules_.map,
-                          state_.proposed_repair() ? shards::Step::kRepair : shards::Step::kRebalance};
+  shards::ValidationContext against{
+      present.epoch == 0 ? nullptr : &present, &all, rules_.map_limits,
+      state_.proposed_repair() ? shards::MapChangeType::kRepair : shards::MapChangeType::kRebalance};
   // A member that came since is due a share that nobody promised it: shares were judged when it was proposed.
-  against.bounds.share_factor = 0;
+  against.limits.share_factor = 0;
   // An owner that was lost when the repair was proposed may be back. Its keys were free to go then.
-  if (state_.proposed_repair()) against.present = nullptr;
+  if (state_.proposed_repair()) against.current = nullptr;
   std::string reason;
   for (const auto& defect : shards::validate(next, against)) {
-    if (reason.empty()) reason = defect.what;
+    if (reason.empty()) reason = defect.message;
   }
   if (reason.empty() && next.epoch != present.epoch + 1) reason = "its epoch is not the next";
   // A window may have begun while it was prepared.
   if (reason.empty() && !state_.proposed_repair() && !state_.proposed_excepted() && present.epoch != 0) {
-    reason = freeze::judge(calendar_, {freeze::Kind::kMap, {}}, now).why;
+    reason = freeze::evaluate(calendar_, {freeze::ChangeKind::kMap, {}}, now).reason;
   }
   if (reason.empty()) state_.mutable_map()->Swap(state_.mutable_proposed());
   end_proposal(index);
   return reason.empty() ? kDone : no(reason);
 }
 
-void Machine::end_proposal(uint64_t index) {
+void StateMachine::end_proposal(uint64_t index) {
   state_.clear_proposed();
   state_.clear_proposed_repair();
   state_.clear_proposed_excepted();
   state_.set_map_index(index);
 }
 
-Result Machine::set_calendar(const pb::SetCalendar& command, freeze::Bounds now) {
+CommandResult StateMachine::set_calendar(const pb::SetCalendar& command, freeze::TimeBounds now) {
   const freeze::Calendar next = from_pb(command.calendar());
   for (size_t i = 0; i < next.windows.size(); ++i) {
     const auto& window = next.windows[i];
     if (window.start >= window.end || window.id.empty()) return no("window '" + window.id + "' has no time");
     if (i > 0 && next.windows[i - 1].id == window.id) return no("window '" + window.id + "' is given twice");
   }
-  if (next.windows.size() > freeze::kMostWindows) return no("too many windows");
-  const auto against = freeze::check_edit(calendar_, next, now);
+  if (next.windows.size() > freeze::kMaxWindows) return no("too many windows");
+  const auto against = freeze::edit_violations(calendar_, next, now);
   if (!against.empty() && !excepted(digest_of(next), now)) {
     std::string all;
     for (const std::string& line : against) all += (all.empty() ? "" : "; ") + line;
@@ -288,10 +291,10 @@
   *state_.mutable_calendar() = to_pb(next);
   if (state_.rolling().number() != 0 && !state_.rolling_excepted()) {
     // A window that was declared meanwhile binds a roll-out that is under way, too.
-    const freeze::Change change{freeze::Kind::kReload, {}};
+    const freeze::Change change{freeze::ChangeKind::kReload, {}};
     int64_t by = state_.rolling_by();
-    if (freeze::judge(calendar_, change, now).closed) by = std::min(by, now.earliest);
-    if (const auto start = freeze::next_start(calendar_, change, now.latest)) {
+    if (freeze::evaluate(calendar_, change, now).closed) by = std::min(by, now.earliest);
+    if (const auto start = freeze::next_window_start(calendar_, change, now.latest)) {
       by = std::min(by, *start - rules_.guard_us);
     }
     state_.set_rolling_by(by);
@@ -299,12 +302,12 @@
   return kDone;
 }
 
-Result Machine::approve(const pb::Approve& command, freeze::Bounds now) {
+CommandResult StateMachine::approve(const pb::Approve& command, freeze::TimeBounds now) {
   if (!calendar_.approvers.contains(command.approver())) {
     return no("'" + command.approver() + "' is not among the approvers of the calendar");
   }
-  if (command.minutes() == 0 || command.minutes() > rules_.most_minutes) {
-    return no("minutes are out of range; expected 1 to " + std::to_string(rules_.most_minutes));
+  if (command.minutes() == 0 || command.minutes() > rules_.max_exception_minutes) {
+    return no("minutes are out of range; expected 1 to " + std::to_string(rules_.max_exception_minutes));
   }
   auto* all = state_.mutable_approval();
   // What is over makes room; by the earliest time that it may be, so that none is dropped too soon.
@@ -321,7 +324,7 @@
     if (all->Get(at).used()) return no("its exception was used; a change takes a new one once that is over");
     return kDone;  // the first word counts: said again it does not last longer
   }
-  if (all->size() >= static_cast<int>(rules_.most_approvals)) return no("no room for another approval");
+  if (all->size() >= static_cast<int>(rules_.max_approvals)) return no("no room for another approval");
   pb::Approval approval;
   approval.set_digest(command.digest());
   approval.set_approver(command.approver());
@@ -330,27 +333,27 @@
   return kDone;
 }
 
-Result Machine::propose_version(const pb::ProposeVersion& command, freeze::Bounds now) {
-  if (command.text().size() > rules_.most_version_bytes) return no("the configuration is too large");
+CommandResult StateMachine::propose_version(const pb::ProposeVersion& command, freeze::TimeBounds now) {
+  if (command.text().size() > rules_.max_version_bytes) return no("the configuration is too large");
   if (command.digest() != digest_of(command.text()))
     return no("the configuration is not what its digest says");
   if (state_.rolling().number() != 0) {
     if (state_.rolling().digest() == command.digest()) return kDone;
     return no("version " + std::to_string(state_.rolling().number()) + " is on its way; wait for its end");
   }
-  const freeze::Change change{freeze::Kind::kReload, {}};
-  const auto verdict = freeze::judge(calendar_, change, now);
+  const freeze::Change change{freeze::ChangeKind::kReload, {}};
+  const auto verdict = freeze::evaluate(calendar_, change, now);
   bool exception = false;
   if (verdict.closed) {
     exception = excepted(command.digest(), now);
-    if (!exception) return no(verdict.why);
+    if (!exception) return no(verdict.reason);
   }
   if (state_.version().number() != 0 && state_.version().digest() == command.digest()) return kDone;
-  int64_t by = now.latest + rules_.rollout_us;
+  int64_t by = now.latest + rules_.rollout_timeout_us;
   // Windows whose start lies within the bounds are in force by the verdict above.
-  if (const auto start = freeze::next_start(calendar_, change, now.latest)) {
+  if (const auto start = freeze::next_window_start(calendar_, change, now.latest)) {
     if (*start - rules_.guard_us <= now.latest && !exception) {
-      return no("a window starts at " + freeze::text(*start) +
+      return no("a window starts at " + freeze::format_instant(*start) +
                 "; a roll-out has to be over before it: wait until the window's end");
     }
     if (!exception) by = std::min(by, *start - rules_.guard_us);
@@ -366,7 +369,7 @@
 }
 
 // By the latest that it may be: what is over only perhaps is not over in time.
-Result Machine::finish_version(const pb::FinishVersion& command, freeze::Bounds now) {
+CommandResult StateMachine::finish_version(const pb::FinishVersion& command, freeze::TimeBounds now) {
   if (state_.rolling().number() == 0 || state_.rolling().number() != command.number()) {
     return no("it is not the version on its way");
   }
@@ -379,7 +382,7 @@
   return kDone;
 }
 
-Result Machine::take_back(const pb::TakeBack& command) {
+CommandResult StateMachine::take_back(const pb::TakeBack& command) {
   if (state_.rolling().number() == 0 || state_.rolling().number() != command.number()) {
     return no("it is not the version on its way");
   }
--- a/register/node.cpp
+++ b/register/node.cpp
@@ -23,7 +23,8 @@
 
 }  // namespace
 
-Node::Node(NodeOptions options, state::Files& files, uint64_t seed, Now now, Send send, Say say)
+Node::Node(NodeOptions options, state::Files& files, uint64_t seed, Now now, SendCallback send,
+           LogCallback say)
     : options_(std::move(options)),
       files_(files),
       random_(seed),
@@ -34,8 +35,8 @@
       opened_at_(now.steady_us) {
   self_votes_ = voter(options_.name) != nullptr;
   boot_ = random_() | 1;
-  next_beat_ =
-      now.steady_us + static_cast<int64_t>(random_() % static_cast<uint64_t>(options_.beat_ms * kMs));
+  next_beat_ = now.steady_us +
+               static_cast<int64_t>(random_() % static_cast<uint64_t>(options_.relay_heartbeat_ms * kMs));
   open();
 }
 
@@ -47,10 +48,10 @@
   raft_.reset();
   leading_ = false;
   storage_ = std::make_unique<Storage>(files_, options_.name);
-  if (!storage_->finding().empty()) say_("register: " + storage_->finding());
+  if (!storage_->diagnostic().empty()) say_("register: " + storage_->diagnostic());
   opened_at_ = now_.steady_us;
   for (auto& [name, heard] : heard_) heard.remembers = false;
-  const bool whole = storage_->found() == Storage::Found::kWhole;
+  const bool whole = storage_->folder_state() == Storage::FolderState::kIntact;
   if (whole && storage_->snapshot()) {
     pb::State state;
     if (state.ParseFromString(storage_->snapshot()->data)) machine_.restore(std::move(state));
@@ -68,15 +69,15 @@
                                 : storage_->generation();
 }
 
-const Peer* Node::voter(const std::string& name) const {
-  for (const Peer& peer : options_.voters) {
+const Voter* Node::voter(const std::string& name) const {
+  for (const Voter& peer : options_.voters) {
     if (peer.name == name) return &peer;
   }
   return nullptr;
 }
 
 std::string Node::voter_of(uint64_t identity) const {
-  for (const Peer& peer : options_.voters) {
+  for (const Voter& peer : options_.voters) {
     if (identity != 0 && peer.slot == Storage::slot_of(identity)) return peer.name;
   }
   return "";
@@ -85,7 +86,7 @@
 // The disk did not do what it was told. What it holds is known only once it is read again; until then this
 // voter neither votes nor leads.
 void Node::break_off() {
-  if (!storage_->finding().empty()) say_("register: " + storage_->finding());
+  if (!storage_->diagnostic().empty()) say_("register: " + storage_->diagnostic());
   raft_.reset();
   leading_ = false;
   phase_ = Phase::kBroken;
@@ -98,12 +99,13 @@
   if (phase_ == Phase::kConfirming || phase_ == Phase::kVoting) {
     frame.set_identity(storage_->identity());
     // Until the folder is confirmed, what was found in it: to mend a torn copy is no promise to anybody.
-    frame.set_promises(phase_ == Phase::kVoting ? storage_->promises() : storage_->loaded_promises());
+    frame.set_promises(phase_ == Phase::kVoting ? storage_->durable_writes()
+                                                : storage_->loaded_durable_writes());
   }
-  if (const Peer* peer = voter(to); peer != nullptr && self_votes() && !storage_->failed()) {
+  if (const Voter* peer = voter(to); peer != nullptr && self_votes() && !storage_->failed()) {
     const uint64_t newest = storage_->newest_identity(peer->slot);
     frame.set_remembers_as(newest);
-    frame.set_remembers(storage_->remembered(newest));
+    frame.set_remembers(storage_->peer_durable_writes(newest));
     frame.set_remembered(true);
   }
 }
@@ -132,7 +134,7 @@
   lease_until_ = 0;
   leading_ = false;
   raft_.reset();
-  machine_ = Machine(options_.rules);
+  machine_ = StateMachine(options_.rules);
   recent_.clear();
   digests_.clear();
   if (!self_votes()) return;
@@ -145,17 +147,17 @@
 void Node::begin_anew(uint64_t generation) {
   uint64_t newest = std::max(storage_->newest_identity(options_.slot), storage_->identity());
   bool all = true;
-  for (const Peer& peer : options_.voters) {
+  for (const Voter& peer : options_.voters) {
     if (peer.name == options_.name) continue;
     const Heard& heard = heard_[peer.name];
     all = all && heard.remembers;
     newest = std::max(newest, heard.remembers_as);
   }
-  const uint32_t incarnation = Storage::incarnation_of(newest) + (all ? 1 : kUnsureStep);
-  if (!storage_->begin(generation, Storage::make_identity(options_.slot, incarnation))) {
+  const uint32_t incarnation = Storage::incarnation_of(newest) + (all ? 1 : kUnconfirmedIncarnationStep);
+  if (!storage_->initialize(generation, Storage::make_identity(options_.slot, incarnation))) {
     return break_off();
   }
-  machine_ = Machine(options_.rules);
+  machine_ = StateMachine(options_.rules);
   say_("register: comes back as a newcomer, incarnation " + std::to_string(incarnation));
   start_raft(false);
 }
@@ -165,7 +167,7 @@
   size_t answered = 1;
   uint64_t generation = seen_generation_;
   bool any_identity = false;
-  for (const Peer& peer : options_.voters) {
+  for (const Voter& peer : options_.voters) {
     if (peer.name == options_.name) continue;
     const Heard& heard = heard_[peer.name];
     all = all && heard.remembers;
@@ -176,10 +178,11 @@
     none_remembers = none_remembers && heard.remembers_as == 0;
   }
   if (all && none_remembers && generation <= 1 && storage_->identity() == 0 &&
-      (any_identity || (generation == 0 && now_.steady_us - opened_at_ >= options_.settle_ms * kMs))) {
+      (any_identity ||
+       (generation == 0 && now_.steady_us - opened_at_ >= options_.bootstrap_delay_ms * kMs))) {
     // Not at once: a copy that knows of a fleet has time to say so. All voters say that this one never
     // promised anything: it belongs to those that a new fleet begins with.
-    if (!storage_->begin(1, Storage::make_identity(options_.slot, 1))) {
+    if (!storage_->initialize(1, Storage::make_identity(options_.slot, 1))) {
       return break_off();
     }
     return start_raft(true);
@@ -187,7 +190,7 @@
   // Something is known of a fleet: a newcomer of it, once all have said what they remember, or most and time
   // has passed.
   const bool most = 2 * answered > options_.voters.size();
-  const bool patient = now_.steady_us - opened_at_ >= options_.confirm_ms * kMs;
+  const bool patient = now_.steady_us - opened_at_ >= options_.confirm_timeout_ms * kMs;
   if (generation > 0 && any_identity && (all || (most && patient))) begin_anew(generation);
 }
 
@@ -195,7 +198,7 @@
 void Node::try_confirm() {
   bool all = true;
   size_t confirmed = 1;
-  for (const Peer& peer : options_.voters) {
+  for (const Voter& peer : options_.voters) {
     if (peer.name == options_.name) continue;
     const Heard& heard = heard_[peer.name];
     if (!heard.remembers) {
@@ -204,17 +207,17 @@
     }
     const bool newer = heard.remembers_as > storage_->identity();
     const bool more =
-        heard.remembers_as == storage_->identity() && heard.remembered > storage_->loaded_promises();
+        heard.remembers_as == storage_->identity() && heard.remembered > storage_->loaded_durable_writes();
     if (newer || more) {
       say_("register: the folder is older than what it promised to " + peer.name + " (" +
-           std::to_string(storage_->loaded_promises()) + " of " + std::to_string(heard.remembered) +
+           std::to_string(storage_->loaded_durable_writes()) + " of " + std::to_string(heard.remembered) +
            " promises)");
       return begin_anew(std::max(storage_->generation(), seen_generation_));
     }
     ++confirmed;
   }
   const bool most = 2 * confirmed > options_.voters.size();
-  const bool patient = now_.steady_us - opened_at_ >= options_.confirm_ms * kMs;
+  const bool patient = now_.steady_us - opened_at_ >= options_.confirm_timeout_ms * kMs;
   if (all || (most && patient)) start_raft(false);
 }
 
@@ -229,7 +232,7 @@
     if (!to.empty()) send(to, std::move(frame));
   };
   hooks.apply = [this](const std::string& bytes) { apply(bytes); };
-  hooks.snapshot = [this] { return machine_.bytes(); };
+  hooks.snapshot = [this] { return machine_.serialize(); };
   hooks.restore = [this](const std::string& bytes) {
     pb::State state;
     if (!state.ParseFromString(bytes)) return;
@@ -238,10 +241,10 @@
     digests_.clear();
     note_digest();
   };
-  machine_ = Machine(options_.rules);
+  machine_ = StateMachine(options_.rules);
   raft_ = std::make_unique<RaftServer>(*storage_, raft, std::move(hooks), now_.steady_us / kMs);
   std::vector<uint64_t> first;
-  for (const Peer& peer : options_.voters) first.push_back(Storage::make_identity(peer.slot, 1));
+  for (const Voter& peer : options_.voters) first.push_back(Storage::make_identity(peer.slot, 1));
   std::sort(first.begin(), first.end());
   if ((bootstrap && !raft_->bootstrap(first)) || !raft_->start()) {
     say_("register: the log cannot be started");
@@ -252,13 +255,14 @@
 
 // All that the folder holds, whether or not it was agreed on: what an operator may begin a generation with.
 pb::State Node::folder_state() const {
-  Machine machine(options_.rules);
+  StateMachine machine(options_.rules);
   if (storage_->snapshot()) {
     pb::State state;
     if (state.ParseFromString(storage_->snapshot()->data)) machine.restore(std::move(state));
   }
   for (const StoredEntry& entry : storage_->entries()) {
-    if (entry.type != kCommandEntry || (storage_->snapshot() && entry.index <= storage_->snapshot()->index))
+    if (entry.type != kCommandEntryType ||
+        (storage_->snapshot() && entry.index <= storage_->snapshot()->index))
       continue;
     pb::Command command;
     if (!command.ParseFromString(entry.data)) command.Clear();
@@ -274,7 +278,7 @@
   if (frame.from() == options_.name || frame.from().empty()) return;
   // Names come from whoever connects: no more of them are kept than the fleet may have members.
   if (!heard_.contains(frame.from()) && voter(frame.from()) == nullptr &&
-      heard_.size() >= options_.rules.most_members + options_.voters.size()) {
+      heard_.size() >= options_.rules.max_members + options_.voters.size()) {
     return;
   }
   Heard& heard = heard_[frame.from()];
@@ -286,7 +290,7 @@
   remembered_by(frame, heard);
   // Kept before anything that rests on it: then the sender can be told, should it forget.
   if (self_votes() && frame.identity() != 0 && phase_ != Phase::kBroken && voter(frame.from()) != nullptr &&
-      !storage_->remember(frame.identity(), frame.promises())) {
+      !storage_->record_peer(frame.identity(), frame.promises())) {
     return break_off();
   }
   // Of an earlier generation, or of none yet: told which one it is, and no more.
@@ -314,7 +318,7 @@
         it->second.index = frame.propose_answer().index();
         break;
       }
-      const Done done = std::move(it->second.done);
+      const ReplyCallback done = std::move(it->second.done);
       pending_.erase(it);
       done(frame.propose_answer().done(), frame.propose_answer().reason());
       break;
@@ -348,24 +352,25 @@
   self->set_leaving(leaving_);
   beat->set_version(version_);
   beat->set_diverged(diverged_);
-  for (const Sight& sight : own_sights_) {
+  for (const HealthReport& sight : own_sights_) {
     pb::Seen* seen = beat->add_seen();
     seen->set_destination(sight.destination);
-    if (sight.out_since != 0) seen->set_out_for(std::max<int64_t>(1, now_.steady_us - sight.out_since));
-    if (sight.back_since != 0) seen->set_back_for(std::max<int64_t>(1, now_.steady_us - sight.back_since));
-    seen->set_base(sight.base);
-    seen->set_served(sight.served);
-    seen->set_scouting(sight.scouting);
+    if (sight.outage_start != 0) seen->set_out_for(std::max<int64_t>(1, now_.steady_us - sight.outage_start));
+    if (sight.recovery_start != 0)
+      seen->set_back_for(std::max<int64_t>(1, now_.steady_us - sight.recovery_start));
+    seen->set_base(sight.baseline_rate);
+    seen->set_served(sight.recently_served);
+    seen->set_scouting(sight.can_send_trial);
   }
   if (self_votes()) {
     Beaten& own = beats_[options_.name];
     own = {now_.steady_us, *self, beat->map_index(), version_, diverged_};
     for (const pb::Seen& seen : beat->seen()) {
       hear(seen, options_.name,
-           standing(shards::key_of(seen.destination()), now_.steady_us) == Standing::kOwner);
+           ownership(shards::key_of(seen.destination()), now_.steady_us) == Ownership::kOwner);
     }
   }
-  for (const Peer& peer : options_.voters) {
+  for (const Voter& peer : options_.voters) {
     if (peer.name != options_.name) send(peer.name, frame);
   }
 }
@@ -386,7 +391,7 @@
     beaten.diverged = beat.diverged();
     const shards::Map map = beat.seen_size() > 0 ? machine_.map() : shards::Map();
     for (const pb::Seen& seen : beat.seen()) {
-      const shards::Range* range = shards::find(map, shards::key_of(seen.destination()));
+      const shards::Range* range = shards::find_range(map, shards::key_of(seen.destination()));
       hear(seen, frame.from(), range != nullptr && range->owner == frame.from());
     }
     answer->set_term(raft_->term());
@@ -411,7 +416,7 @@
           bytes += entry->data().size();
         }
       } else {
-        answer->set_state(machine_.bytes());
+        answer->set_state(machine_.serialize());
       }
     }
     // A lease only for whoever keeps to the newest word on the map, and only by whoever surely leads.
@@ -425,7 +430,7 @@
       pb::Seen* seen = answer->add_seen();
       *seen = told.seen;
       const int64_t age = now_.steady_us - told.at;
-      if (age > options_.dead_ms * kMs) {  // no longer a moment ago
+      if (age > options_.member_timeout_ms * kMs) {  // no longer a moment ago
         seen->set_served(false);
         seen->set_scouting(false);
       }
@@ -535,22 +540,23 @@
   if (state.generation() == copy_kept_generation_ && now_.steady_us - copy_kept_at_ < kKeepCopy) return;
   copy_kept_at_ = now_.steady_us;
   if (storage_->failed()) storage_ = std::make_unique<Storage>(files_, options_.name);
-  if (storage_->found() != Storage::Found::kWhole || storage_->generation() != state.generation()) {
-    if (!storage_->begin(state.generation(), 0)) return;
+  if (storage_->folder_state() != Storage::FolderState::kIntact ||
+      storage_->generation() != state.generation()) {
+    if (!storage_->initialize(state.generation(), 0)) return;
   }
   StoredSnapshot snapshot;
   snapshot.index = state.index();
-  snapshot.data = machine_.bytes();
+  snapshot.data = machine_.serialize();
   if (!storage_->put_snapshot(std::move(snapshot), 0)) return;
   copy_kept_index_ = state.index();
   copy_kept_generation_ = state.generation();
 }
 
-freeze::Bounds Node::bounds() const {
+freeze::TimeBounds Node::bounds() const {
   int64_t low = now_.wall_us, high = now_.wall_us;
   size_t known = self_votes() ? 1 : 0;
   for (const auto& [name, clock] : clocks_) {
-    if (now_.steady_us - clock.at > 10 * options_.beat_ms * kMs) continue;
+    if (now_.steady_us - clock.at > 10 * options_.relay_heartbeat_ms * kMs) continue;
     ++known;
     low = std::min(low, now_.steady_us + clock.low);
     high = std::max(high, now_.steady_us + clock.high);
@@ -568,19 +574,19 @@
   return rolls ? state.rolling() : state.version();
 }
 
-std::vector<Sight> Node::sights(int64_t steady_us) const {
-  std::vector<Sight> out;
+std::vector<HealthReport> Node::health_reports(int64_t steady_us) const {
+  std::vector<HealthReport> out;
   for (const auto& [destination, told] : told_) {
     if (steady_us - told.at > kSightAge || told.seen.by() == options_.name) continue;
-    Sight sight;
+    HealthReport sight;
     sight.destination = destination;
-    sight.out_since = told.seen.out_for() == 0 ? 0 : told.at - told.seen.out_for();
-    sight.back_since = told.seen.back_for() == 0 ? 0 : told.at - told.seen.back_for();
-    sight.base = told.seen.base();
-    const bool lately = steady_us - told.at <= options_.dead_ms * kMs;
-    sight.served = told.seen.served() && lately;
-    sight.scouting = told.seen.scouting() && lately;
-    sight.by_owner = told.seen.by_owner();
+    sight.outage_start = told.seen.out_for() == 0 ? 0 : told.at - told.seen.out_for();
+    sight.recovery_start = told.seen.back_for() == 0 ? 0 : told.at - told.seen.back_for();
+    sight.baseline_rate = told.seen.base();
+    const bool lately = steady_us - told.at <= options_.member_timeout_ms * kMs;
+    sight.recently_served = told.seen.served() && lately;
+    sight.can_send_trial = told.seen.scouting() && lately;
+    sight.from_owner = told.seen.by_owner();
     out.push_back(sight);
   }
   return out;
@@ -591,7 +597,7 @@
   const auto known = told_.find(seen.destination());
   if (known == told_.end() && told_.size() >= kMostSights) return;
   if (!by_owner && known != told_.end() && known->second.seen.by_owner() &&
-      now_.steady_us - known->second.at < options_.dead_ms * kMs) {
+      now_.steady_us - known->second.at < options_.member_timeout_ms * kMs) {
     return;
   }
   Told& told = told_[seen.destination()];
@@ -600,7 +606,7 @@
   told.seen.set_by(by);
 }
 
-View Node::view() const {
+OwnershipView Node::view() const {
   const pb::State& state = machine_.state();
   const std::pair of{state.generation(), state.map_index()};
   if (map_ == nullptr || map_of_ != of) {
@@ -608,7 +614,7 @@
     proposed_ = state.proposed().epoch() == 0 ? map_ : std::make_shared<pb::Map>(state.proposed());
     map_of_ = of;
   }
-  View out;
+  OwnershipView out;
   out.self = options_.name;
   out.map = map_;
   out.proposed = proposed_;
@@ -620,8 +626,8 @@
   return out;
 }
 
-Standing View::standing(shards::Key key, int64_t steady_us) const {
-  if (diverged || map == nullptr || map->epoch() == 0) return Standing::kAlone;
+Ownership OwnershipView::ownership(shards::Key key, int64_t steady_us) const {
+  if (diverged || map == nullptr || map->epoch() == 0) return Ownership::kUncoordinated;
   const auto owner = [&](const pb::Map& of) -> const std::string* {
     const auto after =
         std::upper_bound(of.range().begin(), of.range().end(), key,
@@ -631,9 +637,9 @@
   const std::string* own = owner(*map);
   const std::string* next = owner(*proposed);
   if (own != nullptr && next != nullptr && *own == self && *next == self && steady_us < lease_until) {
-    return Standing::kOwner;
+    return Ownership::kOwner;
   }
-  return confirmed(steady_us) ? Standing::kOther : Standing::kAlone;
+  return confirmed(steady_us) ? Ownership::kOther : Ownership::kUncoordinated;
 }
 
 void Node::tick(Now now) {
@@ -646,7 +652,7 @@
     break_off();
   }
   if (now.steady_us >= next_beat_) {
-    next_beat_ = std::max(next_beat_ + options_.beat_ms * kMs, now.steady_us);
+    next_beat_ = std::max(next_beat_ + options_.relay_heartbeat_ms * kMs, now.steady_us);
     beat();
     if (phase_ == Phase::kVoting) duties();
   }
--- a/register/node.h
+++ b/register/node.h
@@ -30,7 +30,7 @@
   int64_t wall_us = 0;    // of UTC; may do anything
 };
 
-struct Peer {
+struct Voter {
   std::string name;
   uint32_t slot = 0;
 };
@@ -40,39 +40,39 @@
   uint32_t slot = 0;  // 1 to 65535, unlike any other's
   std::string zone;
   double weight = 1;
-  std::vector<Peer> voters;  // three or five; this relay may be among them
-  Rules rules;
+  std::vector<Voter> voters;  // three or five; this relay may be among them
+  StateMachineRules rules;
   RaftOptions raft;
-  int64_t beat_ms = 300;
+  int64_t relay_heartbeat_ms = 300;
   int64_t lease_ms = 2000;
-  int64_t dead_ms = 3000;  // silent for so long, a member is lost
-  int64_t confirm_ms =
+  int64_t member_timeout_ms = 3000;  // silent for so long, a member is lost
+  int64_t confirm_timeout_ms =
       10'000;  // a voter's folder waits so long for the word of all other voters, then for one's
-  int64_t settle_ms = 3000;         // the first map waits so long for members
-  int64_t propose_ms = 5000;        // a change that no leader took on by then is told as not made
-  int64_t clock_slack_us = 10'000;  // what a wall clock may be off beyond what its peers see
+  int64_t bootstrap_delay_ms = 3000;  // the first map waits so long for members
+  int64_t propose_timeout_ms = 5000;  // a change that no leader took on by then is told as not made
+  int64_t clock_slack_us = 10'000;    // what a wall clock may be off beyond what its peers see
 };
 
 // One destination as a relay sees it, for those who come back and know nothing, and for those who leave its
 // scouts to its owner. Times are steady microseconds of the relay that reads it.
-struct Sight {
+struct HealthReport {
   int64_t destination = 0;
-  int64_t out_since = 0;   // 0: no outage
-  int64_t back_since = 0;  // 0: still out
-  double base = 0;         // calls a second that its relay was served before
-  bool served = false;     // a call was served there a moment ago
-  bool scouting = false;   // it is out, and this relay holds something to scout with
-  bool by_owner = false;   // told by whoever owns it
+  int64_t outage_start = 0;      // 0: no outage
+  int64_t recovery_start = 0;    // 0: still out
+  double baseline_rate = 0;      // calls a second that its relay was served before
+  bool recently_served = false;  // a call was served there a moment ago
+  bool can_send_trial = false;   // it is out, and this relay holds something to scout with
+  bool from_owner = false;       // told by whoever owns it
 };
 
-enum class Standing {
-  kAlone,  // nothing is heard of the register: as without it
-  kOwner,  // acts for the key, now
-  kOther,  // another relay does, or is about to
+enum class Ownership {
+  kUncoordinated,  // nothing is heard of the register: as without it
+  kOwner,          // acts for the key, now
+  kOther,          // another relay does, or is about to
 };
 
 // What a relay may rest its acting on, to be looked at at the moment of acting, by any thread.
-struct View {
+struct OwnershipView {
   std::string self;
   std::shared_ptr<const pb::Map> map, proposed;  // of one index
   int64_t lease_until = 0;
@@ -80,39 +80,40 @@
   bool diverged = false;
   uint64_t generation = 0;
 
-  Standing standing(shards::Key key, int64_t steady_us) const;
+  Ownership ownership(shards::Key key, int64_t steady_us) const;
   bool confirmed(int64_t steady_us) const { return !diverged && steady_us < confirmed_until; }
 };
 
 class Node {
  public:
-  using Send = std::function<void(const std::string& to, const pb::Frame&)>;
-  using Done = std::function<void(bool done, const std::string& text)>;
-  using Say = std::function<void(const std::string& line)>;
+  using SendCallback = std::function<void(const std::string& to, const pb::Frame&)>;
+  using ReplyCallback = std::function<void(bool done, const std::string& text)>;
+  using LogCallback = std::function<void(const std::string& line)>;
 
-  Node(NodeOptions options, state::Files& files, uint64_t seed, Now now, Send send, Say say);
+  Node(NodeOptions options, state::Files& files, uint64_t seed, Now now, SendCallback send, LogCallback say);
   ~Node();
 
   void receive(const pb::Frame& frame, Now now);
   void tick(Now now);  // often against beat_ms
   // An operator's question, or a change. `done` is called once, at once or within propose_ms.
-  void ask(const pb::Ask& ask, Now now, Done done);
+  void handle_request(const pb::Ask& ask, Now now, ReplyCallback done);
   // What all relays are to run, by a digest of its text: taken up by the register, or refused.
-  void propose_version(const std::string& text, Now now, Done done);
-  void runs_version(uint64_t number) { version_ = number; }  // told by the daemon
-  void sees(std::vector<Sight> sights) { own_sights_ = std::move(sights); }
-  void leaving() { leaving_ = true; }
-
-  View view() const;
-  Standing standing(shards::Key key, int64_t steady_us) const { return view().standing(key, steady_us); }
-  const Machine& machine() const { return machine_; }
+  void propose_version(const std::string& text, Now now, ReplyCallback done);
+  void set_running_version(uint64_t number) { version_ = number; }  // told by the daemon
+  void report_health(std::vector<HealthReport> sights) { own_sights_ = std::move(sights); }
+  void set_leaving() { leaving_ = true; }
+
+  OwnershipView view() const;
+  Ownership ownership(shards::Key key, int64_t steady_us) const { return view().ownership(key, steady_us); }
+  const StateMachine& state_machine() const { return machine_; }
   // The version to run: one that is on its way, or the last that all reached. Number 0: none.
   const pb::Version& version() const;
-  std::vector<Sight> sights(int64_t steady_us) const;  // what others told, freshest for each destination
+  std::vector<HealthReport> health_reports(
+      int64_t steady_us) const;  // what others told, freshest for each destination
   // What the machine holds was told by a leader's word lately.
   bool confirmed(int64_t steady_us) const { return view().confirmed(steady_us); }
-  bool leads() const { return leading_; }
-  bool votes() const { return phase_ == Phase::kVoting; }
+  bool is_leader() const { return leading_; }
+  bool is_voting() const { return phase_ == Phase::kVoting; }
   bool diverged() const { return diverged_; }
   uint64_t generation() const;
   uint64_t identity() const { return storage_->identity(); }
@@ -151,7 +152,7 @@
   };
   struct Pending {
     pb::Command command;
-    Done done;
+    ReplyCallback done;
     int64_t until = 0;
     int64_t tried = 0;
     bool out = false;    // with this relay's own log
@@ -167,7 +168,7 @@
   void break_off();
   bool self_votes() const { return self_votes_; }
   std::string voter_of(uint64_t identity) const;
-  const Peer* voter(const std::string& name) const;
+  const Voter* voter(const std::string& name) const;
   void fill(pb::Frame& frame, const std::string& to) const;
   void send(const std::string& to, pb::Frame frame);
   void beat();
@@ -186,7 +187,7 @@
   void note_digest();
   void keep_copy();
   void compare(const std::string& voter, uint64_t index, uint64_t digest);
-  freeze::Bounds bounds() const;
+  freeze::TimeBounds bounds() const;
   int64_t quorum_heard() const;  // a majority answered beats of this term that were sent no earlier
   bool may_grant() const;
   void duties();
@@ -194,25 +195,25 @@
   void watch_map();
   void watch_version();
   bool kept_by_all() const;
-  void submit(pb::Command command, Done done);
+  void submit(pb::Command command, ReplyCallback done);
   void attempt(uint64_t number);
-  void log_command(pb::Command command, Done done);
+  void log_command(pb::Command command, ReplyCallback done);
   void expire();
-  Result restore();
+  CommandResult restore();
   std::string name_of_leader() const;
 
   NodeOptions options_;
   state::Files& files_;
   std::mt19937_64 random_;
-  Send send_;
-  Say say_;
+  SendCallback send_;
+  LogCallback say_;
   Now now_;
   bool self_votes_ = false;
   Phase phase_ = Phase::kCopy;
   std::unique_ptr<Storage> storage_;
   std::unique_ptr<RaftServer> raft_;
-  Machine machine_;
-  Result last_result_;
+  StateMachine machine_;
+  CommandResult last_result_;
   int64_t opened_at_ = 0;
   int64_t broken_at_ = 0;
   uint64_t seen_generation_ = 0;  // the highest that anybody spoke of
@@ -239,7 +240,7 @@
   int64_t copy_kept_at_ = 0;
   uint64_t copy_kept_index_ = 0;
   uint64_t copy_kept_generation_ = 0;
-  std::vector<Sight> own_sights_;
+  std::vector<HealthReport> own_sights_;
   std::map<int64_t, Told> told_;
   // While it leads:
   bool leading_ = false;
--- a/register/node_asks.cpp
+++ b/register/node_asks.cpp
@@ -13,24 +13,24 @@
 }  // namespace
 
 // Takes it into the own log. Not done and without a reason: not the leader, or no longer.
-void Node::log_command(pb::Command command, Done done) {
-  const bool leads = raft_ && raft_->leads() && !diverged_;
+void Node::log_command(pb::Command command, ReplyCallback done) {
+  const bool leads = raft_ && raft_->is_leader() && !diverged_;
   const bool first = command.has_lead();
   if (!leads || (!first && (!leading_ || raft_->term() != lead_term_))) return done(false, "");
-  const freeze::Bounds now = bounds();
+  const freeze::TimeBounds now = bounds();
   command.set_earliest(now.earliest);
   command.set_latest(now.latest);
   raft_->propose(command.SerializeAsString(), [this, done = std::move(done)](int status) {
     if (status != 0) return done(false, "");
-    done(last_result_.done, last_result_.reason);
+    done(last_result_.applied, last_result_.reason);
   });
 }
 
-void Node::submit(pb::Command command, Done done) {
+void Node::submit(pb::Command command, ReplyCallback done) {
   if (pending_.size() >= kMostPending) return done(false, "too many changes are waiting here; try again");
   const uint64_t number = ++last_pending_;
-  pending_[number] = {std::move(command), std::move(done), now_.steady_us + options_.propose_ms * kMs, 0,
-                      false};
+  pending_[number] = {std::move(command), std::move(done), now_.steady_us + options_.propose_timeout_ms * kMs,
+                      0, false};
   attempt(number);
 }
 
@@ -44,7 +44,7 @@
       if (it == pending_.end()) return;
       it->second.out = false;
       if (!done && reason.empty()) return;  // tried again
-      const Done tell = std::move(it->second.done);
+      const ReplyCallback tell = std::move(it->second.done);
       pending_.erase(it);
       tell(done, reason);
     });
@@ -58,7 +58,7 @@
 
 void Node::expire() {
   std::vector<uint64_t> again;
-  std::vector<Done> over, made;
+  std::vector<ReplyCallback> over, made;
   for (auto it = pending_.begin(); it != pending_.end();) {
     const bool shown = it->second.index != 0 && machine_.state().index() >= it->second.index;
     if (shown || now_.steady_us >= it->second.until) {
@@ -67,7 +67,7 @@
       continue;
     }
     if (!it->second.out && it->second.index == 0 &&
-        now_.steady_us - it->second.tried >= options_.raft.election_ms * kMs) {
+        now_.steady_us - it->second.tried >= options_.raft.election_timeout_ms * kMs) {
       again.push_back(it->first);
     }
     ++it;
@@ -75,15 +75,15 @@
   for (const uint64_t number : again) {
     if (pending_.contains(number)) attempt(number);
   }
-  for (const Done& done : made) done(true, "");
-  for (const Done& done : over) {
+  for (const ReplyCallback& done : made) done(true, "");
+  for (const ReplyCallback& done : over) {
     done(false,
          "no leader took it on in time: without a majority of the voters changes are closed, and messages "
          "served; look at the status, as it may have been made all the same");
   }
 }
 
-void Node::propose_version(const std::string& text, Now now, Done done) {
+void Node::propose_version(const std::string& text, Now now, ReplyCallback done) {
   now_ = now;
   pb::Command command;
   command.mutable_propose_version()->set_text(text);
@@ -91,15 +91,15 @@
   submit(std::move(command), std::move(done));
 }
 
-Result Node::restore() {
+CommandResult Node::restore() {
   if (!self_votes()) return {false, "this relay is no voter; expected the name of a voter that survived"};
   pb::State state = folder_state();
   if (phase_ == Phase::kAsking || state.index() == 0) return {false, "this relay's folder holds no register"};
   if (confirmed(now_.steady_us) ||
-      (raft_ && raft_->leader() != 0 && raft_->leader() != storage_->identity())) {
+      (raft_ && raft_->leader_identity() != 0 && raft_->leader_identity() != storage_->identity())) {
     return {false, "a leader is heard: nothing is to be restored"};
   }
-  if (leading_ && now_.steady_us - quorum_heard() <= options_.dead_ms * kMs) {
+  if (leading_ && now_.steady_us - quorum_heard() <= options_.member_timeout_ms * kMs) {
     return {false, "a majority of voters answers: nothing is to be restored"};
   }
   state.set_generation(std::max(state.generation(), seen_generation_) + 1);
@@ -108,26 +108,26 @@
   state.clear_proposed_excepted();
   for (pb::Member& member : *state.mutable_member()) member.set_live(false);
   const uint64_t term = storage_->term();
-  const uint64_t identity =
-      Storage::make_identity(options_.slot, Storage::incarnation_of(storage_->identity()) + kUnsureStep);
+  const uint64_t identity = Storage::make_identity(
+      options_.slot, Storage::incarnation_of(storage_->identity()) + kUnconfirmedIncarnationStep);
   raft_.reset();
   leading_ = false;
   lease_until_ = 0;
-  if (!storage_->begin(state.generation(), identity)) {
+  if (!storage_->initialize(state.generation(), identity)) {
     break_off();
-    return {false, storage_->finding()};
+    return {false, storage_->diagnostic()};
   }
   StoredSnapshot snapshot;
   snapshot.index = 1;
   snapshot.term = std::max<uint64_t>(term, 1);
   snapshot.configuration =
-      RaftServer::servers_of({identity});  // this one alone; the others come as newcomers
+      RaftServer::encode_configuration({identity});  // this one alone; the others come as newcomers
   snapshot.configuration_index = 1;
   snapshot.data = state.SerializeAsString();
   if (!storage_->put_snapshot(std::move(snapshot), 0) ||
       !storage_->set_term(std::max<uint64_t>(term, 1) + 1)) {
     break_off();
-    return {false, storage_->finding()};
+    return {false, storage_->diagnostic()};
   }
   recent_.clear();
   digests_.clear();
@@ -138,7 +138,7 @@
   return {true, ""};
 }
 
-void Node::ask(const pb::Ask& ask, Now now, Done done) {
+void Node::handle_request(const pb::Ask& ask, Now now, ReplyCallback done) {
   now_ = now;
   const auto tell = [done](bool good, const std::string& reason) { done(good, good ? "done" : reason); };
   pb::Command command;
@@ -149,17 +149,17 @@
       if (machine_.state().map().epoch() == 0) return done(false, "there is no map yet");
       return done(true, shards::to_toml(machine_.map()));
     case pb::Ask::kPlan: {
-      const auto plan = shards::rebalance(machine_.map(), machine_.members(), options_.rules.map);
+      const auto plan = shards::rebalance(machine_.map(), machine_.members(), options_.rules.map_limits);
       if (!plan) return done(false, "nothing is to be moved");
       return done(true, shards::to_toml(*plan));
     }
     case pb::Ask::kCalendar: {
       std::ostringstream out;
-      const freeze::Bounds time = machine_.bounds(bounds().earliest, bounds().latest);
+      const freeze::TimeBounds time = machine_.time_bounds(bounds().earliest, bounds().latest);
       for (const freeze::Window& w : machine_.calendar().windows) {
         const bool over = time.earliest >= w.end;
         const bool on = time.latest >= w.start && !over;
-        out << w.id << " " << freeze::text(w.start) << " " << freeze::text(w.end) << " "
+        out << w.id << " " << freeze::format_instant(w.start) << " " << freeze::format_instant(w.end) << " "
             << (on     ? "in force"
                 : over ? "over"
                        : "to come")
@@ -191,8 +191,9 @@
       if (ask.text() != options_.name) {
         return done(false, "this is '" + options_.name + "', not '" + ask.text() + "'");
       }
-      const Result result = restore();
-      return done(result.done, result.done ? "generation " + std::to_string(generation()) : result.reason);
+      const CommandResult result = restore();
+      return done(result.applied,
+                  result.applied ? "generation " + std::to_string(generation()) : result.reason);
     }
     default:
       return done(false, "a question that this program does not know");
@@ -224,7 +225,7 @@
     for (const pb::Range& after : next.range()) {
       const shards::Key first = std::max(range.first(), after.first());
       const shards::Key last = std::min(range.last(), after.last());
-      if (first <= last && standing(first, now.steady_us) == Standing::kOwner) {
+      if (first <= last && ownership(first, now.steady_us) == Ownership::kOwner) {
         out << "owns " << shards::hex(first) << " " << shards::hex(last) << "\n";
       }
     }
--- a/register/node_leads.cpp
+++ b/register/node_leads.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-std::string Node::name_of_leader() const { return raft_ ? voter_of(raft_->leader()) : ""; }
+std::string Node::name_of_leader() const { return raft_ ? voter_of(raft_->leader_identity()) : ""; }
 
 int64_t Node::quorum_heard() const {
   std::vector<int64_t> times;
@@ -28,12 +28,12 @@
 // A voter that answered had no later term then; one of any later majority is among those who answered. So a
 // later leader was elected after these answers, and waits out the election time on top of the lease.
 bool Node::may_grant() const {
-  return leading_ && raft_->leads() && raft_->term() == lead_term_ && !diverged_ &&
-         now_.steady_us - quorum_heard() <= options_.raft.election_ms * kMs;
+  return leading_ && raft_->is_leader() && raft_->term() == lead_term_ && !diverged_ &&
+         now_.steady_us - quorum_heard() <= options_.raft.election_timeout_ms * kMs;
 }
 
 void Node::duties() {
-  if (!raft_->leads() || diverged_) {
+  if (!raft_->is_leader() || diverged_) {
     leading_ = false;
     return;
   }
@@ -62,12 +62,12 @@
     lease_until_ = std::max(lease_until_, quorum_heard() + options_.lease_ms * kMs);
     grants_[options_.name] = {now_.steady_us, machine_.state().map_index()};
   }
-  for (const Peer& peer : options_.voters) {
+  for (const Voter& peer : options_.voters) {
     const auto heard = heard_.find(peer.name);
     if (heard == heard_.end() || heard->second.identity == 0) continue;
     if (heard->second.generation != generation()) continue;
-    if (now_.steady_us - heard->second.at > options_.dead_ms * kMs) continue;
-    raft_->settle(heard->second.identity);
+    if (now_.steady_us - heard->second.at > options_.member_timeout_ms * kMs) continue;
+    raft_->reconcile_voter(heard->second.identity);
   }
   watch_members();
   watch_map();
@@ -78,7 +78,7 @@
 bool Node::silent(const std::string& name) const {
   const auto beaten = beats_.find(name);
   return beaten == beats_.end() || beaten->second.diverged ||
-         now_.steady_us - beaten->second.at > options_.dead_ms * kMs;
+         now_.steady_us - beaten->second.at > options_.member_timeout_ms * kMs;
 }
 
 void Node::watch_members() {
@@ -96,11 +96,11 @@
     }
     *members->add_seen() = seen;
   }
-  if (now_.steady_us - leading_since_ > options_.dead_ms * kMs) {
+  if (now_.steady_us - leading_since_ > options_.member_timeout_ms * kMs) {
     for (const pb::Member& member : machine_.state().member()) {
       const auto beaten = beats_.find(member.name());
       const bool silent =
-          beaten == beats_.end() || now_.steady_us - beaten->second.at > options_.dead_ms * kMs;
+          beaten == beats_.end() || now_.steady_us - beaten->second.at > options_.member_timeout_ms * kMs;
       if (member.live() && silent) members->add_lost(member.name());
     }
   }
@@ -115,7 +115,8 @@
   const uint64_t proposal = machine_.state().map_index();
   const int64_t lease = with_drift(options_.lease_ms * kMs);
   // What the leader before may have granted, up to its election time after this one's election.
-  const bool before = now_.steady_us - leading_since_ <= lease + with_drift(options_.raft.election_ms * kMs);
+  const bool before =
+      now_.steady_us - leading_since_ <= lease + with_drift(options_.raft.election_timeout_ms * kMs);
   for (const pb::Member& member : machine_.state().member()) {
     const auto beaten = beats_.find(member.name());
     if (beaten != beats_.end() && beaten->second.map_index >= proposal) continue;
@@ -135,10 +136,10 @@
     command.mutable_commit_map()->set_map_index(state.map_index());
   } else {
     const bool first = state.map().epoch() == 0;
-    const int64_t wait = (first ? options_.settle_ms : options_.dead_ms) * kMs;
+    const int64_t wait = (first ? options_.bootstrap_delay_ms : options_.member_timeout_ms) * kMs;
     if (now_.steady_us - leading_since_ < wait) return;
     const auto members = machine_.members();
-    const auto map = first ? shards::first_map(members) : shards::repair(machine_.map(), members);
+    const auto map = first ? shards::initial_map(members) : shards::repair(machine_.map(), members);
     if (!map) return;
     *command.mutable_propose_map()->mutable_map() = to_pb(*map);
     command.mutable_propose_map()->set_repair(!first);
@@ -160,7 +161,7 @@
     reached = reached && beaten != beats_.end() && beaten->second.version == state.rolling().number();
   }
   const bool late =
-      bounds().latest + options_.rules.late_us > state.rolling_by() - options_.rules.guard_us / 2;
+      bounds().latest + options_.rules.commit_margin_us > state.rolling_by() - options_.rules.guard_us / 2;
   if (!reached && !late) return;
   pb::Command command;
   if (late) {
--- a/register/raft.cpp
+++ b/register/raft.cpp
@@ -307,7 +307,7 @@
         std::vector<Piece> pieces;
         for (const pb::LogEntry& entry : from.entry()) {
           if (entry.type() < RAFT_COMMAND || entry.type() > RAFT_CHANGE ||
-              entry.data().size() > kMostEntryBytes) {
+              entry.data().size() > kMaxEntryBytes) {
             return false;
           }
           pieces.push_back({entry.data().data(), entry.data().size()});
@@ -329,7 +329,7 @@
         to.install_snapshot.last_index = from.snapshot_index();
         to.install_snapshot.last_term = from.snapshot_term();
         to.install_snapshot.conf_index = from.configuration_index();
-        if (from.snapshot().size() > kMostSnapshotBytes ||
+        if (from.snapshot().size() > kMaxSnapshotBytes ||
             !decode(from.configuration(), to.install_snapshot.conf)) {
           return false;
         }
@@ -394,11 +394,11 @@
   i.running =
       raft_init(&i.raft, &i.io, &i.fsm, storage.identity(), std::to_string(storage.identity()).c_str()) == 0;
   i.raft.data = &i;
-  raft_set_election_timeout(&i.raft, options.election_ms);
-  raft_set_heartbeat_timeout(&i.raft, options.heartbeat_ms);
-  raft_set_install_snapshot_timeout(&i.raft, 10 * options.election_ms);
-  raft_set_snapshot_threshold(&i.raft, options.snapshot_every);
-  raft_set_snapshot_trailing(&i.raft, options.trailing);
+  raft_set_election_timeout(&i.raft, options.election_timeout_ms);
+  raft_set_heartbeat_timeout(&i.raft, options.heartbeat_interval_ms);
+  raft_set_install_snapshot_timeout(&i.raft, 10 * options.election_timeout_ms);
+  raft_set_snapshot_threshold(&i.raft, options.snapshot_interval);
+  raft_set_snapshot_trailing(&i.raft, options.trailing_entries);
   raft_set_pre_vote(&i.raft, true);
 }
 
@@ -409,7 +409,7 @@
   impl_->drain();
 }
 
-std::string RaftServer::servers_of(const std::vector<uint64_t>& voters) {
+std::string RaftServer::encode_configuration(const std::vector<uint64_t>& voters) {
   pb::RaftMessage out;
   for (const uint64_t voter : voters) {
     pb::LogEntry* server = out.add_entry();
@@ -455,12 +455,12 @@
   impl_->drain();
 }
 
-void RaftServer::propose(const std::string& command, Done done) {
+void RaftServer::propose(const std::string& command, CompletionCallback done) {
   struct Request {
     struct raft_apply request {};
-    Done done;
+    CompletionCallback done;
   };
-  if (!impl_->started || !leads()) return done(RAFT_NOTLEADER);
+  if (!impl_->started || !is_leader()) return done(RAFT_NOTLEADER);
   auto* request = new Request;
   request->done = std::move(done);
   request->request.data = request;
@@ -478,9 +478,9 @@
   impl_->drain();
 }
 
-bool RaftServer::leads() const { return impl_->started && raft_state(&impl_->raft) == RAFT_LEADER; }
+bool RaftServer::is_leader() const { return impl_->started && raft_state(&impl_->raft) == RAFT_LEADER; }
 
-uint64_t RaftServer::leader() const {
+uint64_t RaftServer::leader_identity() const {
   if (!impl_->started) return 0;
   raft_id id = 0;
   const char* address = nullptr;
@@ -497,10 +497,10 @@
   return out;
 }
 
-bool RaftServer::changing() const { return impl_->changing; }
+bool RaftServer::is_changing_servers() const { return impl_->changing; }
 
-void RaftServer::settle(uint64_t identity) {
-  if (!leads() || impl_->changing) return;
+void RaftServer::reconcile_voter(uint64_t identity) {
+  if (!is_leader() || impl_->changing) return;
   const auto change = [this](auto call) {
     impl_->changing = true;
     impl_->change.data = impl_.get();
--- a/register/raft.h
+++ b/register/raft.h
@@ -13,13 +13,14 @@
 
 namespace umberhoist::reg {
 
-constexpr uint16_t kCommandEntry = 1;  // the library's type of an entry that holds a command
+constexpr uint16_t kCommandEntryType = 1;  // the library's type of an entry that holds a command
 
 struct RaftOptions {
-  unsigned election_ms = 1000;  // without a word from the leader for one to two of these, another is elected
-  unsigned heartbeat_ms = 200;
-  unsigned snapshot_every = 256;  // commands
-  unsigned trailing = 64;         // commands that are kept behind a snapshot, for those who lag a little
+  unsigned election_timeout_ms =
+      1000;  // without a word from the leader for one to two of these, another is elected
+  unsigned heartbeat_interval_ms = 200;
+  unsigned snapshot_interval = 256;  // commands
+  unsigned trailing_entries = 64;    // commands that are kept behind a snapshot, for those who lag a little
   uint64_t seed = 1;
 };
 
@@ -36,7 +37,7 @@
     bool voter = false;
   };
   // Called once: 0 and applied, or a code of the library: nothing is known of what becomes of it.
-  using Done = std::function<void(int status)>;
+  using CompletionCallback = std::function<void(int status)>;
 
   RaftServer(Storage& storage, const RaftOptions& options, Hooks hooks, int64_t now_ms);
   ~RaftServer();
@@ -44,7 +45,7 @@
   RaftServer& operator=(const RaftServer&) = delete;
 
   // As a snapshot holds them.
-  static std::string servers_of(const std::vector<uint64_t>& voters);
+  static std::string encode_configuration(const std::vector<uint64_t>& voters);
 
   // Of a new fleet: to be called before start. Not for a newcomer.
   bool bootstrap(const std::vector<uint64_t>& voters);
@@ -52,15 +53,15 @@
 
   void tick(int64_t now_ms);
   void receive(const register_pb::RaftMessage& message, int64_t now_ms);
-  void propose(const std::string& command, Done done);
+  void propose(const std::string& command, CompletionCallback done);
 
-  bool leads() const;
-  uint64_t leader() const;  // identity; 0: none is known
+  bool is_leader() const;
+  uint64_t leader_identity() const;  // identity; 0: none is known
   uint64_t term() const;
   std::vector<Server> servers() const;
-  bool changing() const;  // a change of servers is on its way
+  bool is_changing_servers() const;  // a change of servers is on its way
   // One step towards: `identity` votes, and no other identity of its slot is among the servers.
-  void settle(uint64_t identity);
+  void reconcile_voter(uint64_t identity);
 
  private:
   struct Impl;
--- a/register/storage.cpp
+++ b/register/storage.cpp
@@ -31,14 +31,14 @@
 
 }  // namespace
 
-std::string storage_frame(std::string_view payload) {
+std::string encode_storage_frame(std::string_view payload) {
   ByteWriter out;
   out.write_number(static_cast<uint32_t>(payload.size()));
   out.write_number(XXH64(payload.data(), payload.size(), payload.size()));
   return out.write_bytes(payload).take();
 }
 
-std::optional<std::string> read_frame(std::string_view bytes, size_t& at, size_t most) {
+std::optional<std::string> read_storage_frame(std::string_view bytes, size_t& at, size_t most) {
   if (at > bytes.size()) return std::nullopt;
   ByteReader in(bytes.substr(at));
   const auto size = in.read_number<uint32_t>();
@@ -142,7 +142,7 @@
   const auto bytes = read_whole(name, kMostVoteBytes);
   if (!bytes) return std::nullopt;
   size_t at = 0;
-  const auto payload = read_frame(*bytes, at, kMostVoteBytes);
+  const auto payload = read_storage_frame(*bytes, at, kMostVoteBytes);
   if (!payload) return std::nullopt;
   ByteReader in(*payload);
   if (in.read_number<uint32_t>() != kVersion) return std::nullopt;
@@ -168,33 +168,33 @@
   const auto a = read_vote(kVoteA, others);
   const auto b = read_vote(kVoteB, others);
   if (others) {
-    found_ = Found::kOthers;
+    found_ = FolderState::kForeign;
     finding_ = "the folder is another relay's; expected that of '" + name_ + "'";
     return;
   }
   if (!a && !b) {
     // A beginning that was cut short promised nothing, but that cannot be told from a loss.
-    found_ = Found::kDamaged;
+    found_ = FolderState::kDamaged;
     finding_ = "neither copy of the vote can be read";
     return;
   }
   vote_ = !b || (a && a->promises >= b->promises) ? *a : *b;
   loaded_promises_ = vote_.promises;
   if (!load_snapshot() || !load_log()) {
-    found_ = Found::kDamaged;
+    found_ = FolderState::kDamaged;
     snapshot_.reset();
     entries_.clear();
     return;
   }
-  found_ = Found::kWhole;
+  found_ = FolderState::kIntact;
   if (!a || !b || a->promises != b->promises) promise();  // both copies alike again
 }
 
 bool Storage::load_snapshot() {
   if (vote_.snapshot == 0) return true;
-  const auto bytes = read_whole(snapshot_name(vote_.snapshot), kMostSnapshotBytes + 64);
+  const auto bytes = read_whole(snapshot_name(vote_.snapshot), kMaxSnapshotBytes + 64);
   size_t at = 0;
-  const auto payload = bytes ? read_frame(*bytes, at, kMostSnapshotBytes) : std::nullopt;
+  const auto payload = bytes ? read_storage_frame(*bytes, at, kMaxSnapshotBytes) : std::nullopt;
   snapshot_ = payload ? decode_snapshot(*payload) : std::nullopt;
   if (snapshot_ && snapshot_->index == vote_.snapshot) return true;
   finding_ = "the snapshot of command " + std::to_string(vote_.snapshot) + " is missing or damaged";
@@ -213,7 +213,7 @@
   size_t at = 0;
   while (at < promised.size()) {
     const size_t from = at;
-    const auto payload = read_frame(promised, at, kMostEntryBytes + 64);
+    const auto payload = read_storage_frame(promised, at, kMaxEntryBytes + 64);
     const auto entry = payload ? decode_entry(*payload) : std::nullopt;
     if (!entry || (!entries_.empty() && entry->index != entries_.back().index + 1)) {
       finding_ = "the log " + name + " is damaged at byte " + std::to_string(from) + " of " +
@@ -227,7 +227,7 @@
   return true;
 }
 
-bool Storage::begin(uint64_t generation, uint64_t identity) {
+bool Storage::initialize(uint64_t generation, uint64_t identity) {
   std::vector<std::string> old, aside;
   for (const std::string& file : files_.list()) {
     if (ours(file) && file != kPeers) old.push_back(file);
@@ -252,7 +252,7 @@
   vote_.generation = generation;
   vote_.identity = identity;
   if (!files_.sync_folder() || !start_log(1) || !promise()) return fail("a new beginning");
-  found_ = Found::kWhole;
+  found_ = FolderState::kIntact;
   return true;
 }
 
@@ -273,7 +273,7 @@
   }
   out.write_string(name_);
   // Under its own name, not by a new one: what is lost of it is lost of one copy only.
-  return write_whole(name, storage_frame(out.take())) && files_.sync_folder();
+  return write_whole(name, encode_storage_frame(out.take())) && files_.sync_folder();
 }
 
 bool Storage::promise() {
@@ -296,7 +296,7 @@
 
 bool Storage::start_log(uint64_t number) {
   std::string all;
-  for (const StoredEntry& entry : entries_) all += storage_frame(encode_entry(entry));
+  for (const StoredEntry& entry : entries_) all += encode_storage_frame(encode_entry(entry));
   const int file = files_.create(log_name(number));
   if (file < 0) return fail("a log");
   if (!write(file, all) || !files_.sync(file) || !files_.sync_folder()) {
@@ -317,8 +317,8 @@
   if (log_file_ < 0 && !start_log(vote_.log + 1)) return false;
   std::string bytes;
   for (const StoredEntry& entry : entries) {
-    if (entry.data.size() > kMostEntryBytes) return fail("a command that is too large");
-    bytes += storage_frame(encode_entry(entry));
+    if (entry.data.size() > kMaxEntryBytes) return fail("a command that is too large");
+    bytes += encode_storage_frame(encode_entry(entry));
     entries_.push_back(entry);
   }
   if (!write(log_file_, bytes) || !files_.sync(log_file_)) return fail("commands");
@@ -343,9 +343,10 @@
 
 bool Storage::put_snapshot(StoredSnapshot snapshot, uint64_t trailing) {
   if (failed_) return false;
-  if (snapshot.data.size() > kMostSnapshotBytes) return fail("a snapshot that is too large");
+  if (snapshot.data.size() > kMaxSnapshotBytes) return fail("a snapshot that is too large");
   const uint64_t index = snapshot.index;
-  if (!write_whole(snapshot_name(index), storage_frame(encode_snapshot(snapshot))) || !files_.sync_folder()) {
+  if (!write_whole(snapshot_name(index), encode_storage_frame(encode_snapshot(snapshot))) ||
+      !files_.sync_folder()) {
     return fail("a snapshot");
   }
   snapshot_ = std::move(snapshot);
@@ -369,7 +370,7 @@
   const auto bytes = read_whole(kPeers, 4 * kMostPeersBytes);
   if (!bytes) return;
   size_t at = 0;
-  while (const auto payload = read_frame(*bytes, at, 64)) {
+  while (const auto payload = read_storage_frame(*bytes, at, 64)) {
     ByteReader in(*payload);
     const auto identity = in.read_number<uint64_t>();
     const auto promises = in.read_number<uint64_t>();
@@ -379,7 +380,7 @@
   }
 }
 
-bool Storage::remember(uint64_t identity, uint64_t promises) {
+bool Storage::record_peer(uint64_t identity, uint64_t promises) {
   uint64_t& known = peers_[identity];
   if (promises <= known) return true;
   known = promises;
@@ -389,7 +390,7 @@
     peers_file_ = files_.create(fresh);
     std::string all;
     for (const auto& [who, what] : peers_)
-      all += storage_frame(ByteWriter().write_number(who).write_number(what).take());
+      all += encode_storage_frame(ByteWriter().write_number(who).write_number(what).take());
     peers_bytes_ = all.size();
     if (peers_file_ < 0 || !write(peers_file_, all) || !files_.sync(peers_file_) ||
         !files_.rename(fresh, kPeers) || !files_.sync_folder()) {
@@ -397,13 +398,14 @@
     }
     return true;
   }
-  const std::string frame = storage_frame(ByteWriter().write_number(identity).write_number(promises).take());
+  const std::string frame =
+      encode_storage_frame(ByteWriter().write_number(identity).write_number(promises).take());
   peers_bytes_ += frame.size();
   if (!write(peers_file_, frame) || !files_.sync(peers_file_)) return fail("what others promised");
   return true;
 }
 
-uint64_t Storage::remembered(uint64_t identity) const {
+uint64_t Storage::peer_durable_writes(uint64_t identity) const {
   const auto it = peers_.find(identity);
   return it == peers_.end() ? 0 : it->second;
 }
--- a/register/storage.h
+++ b/register/storage.h
@@ -36,34 +36,35 @@
   bool operator==(const StoredSnapshot&) const = default;
 };
 
-constexpr uint32_t kUnsureStep = 1000;  // to an incarnation well past any that was not heard of
-constexpr size_t kMostEntryBytes = 1024 * 1024;
-constexpr size_t kMostSnapshotBytes = 16 * 1024 * 1024;
+constexpr uint32_t kUnconfirmedIncarnationStep =
+    1000;  // to an incarnation well past any that was not heard of
+constexpr size_t kMaxEntryBytes = 1024 * 1024;
+constexpr size_t kMaxSnapshotBytes = 16 * 1024 * 1024;
 
 class Storage {
  public:
-  enum class Found {
-    kNothing,  // no voter was here
-    kWhole,
+  enum class FolderState {
+    kEmpty,  // no voter was here
+    kIntact,
     kDamaged,  // something was promised here that cannot be read any more
-    kOthers,   // another relay's folder
+    kForeign,  // another relay's folder
   };
 
   // Reads the folder; changes nothing in it but what a crash left unfinished.
   Storage(state::Files& files, std::string name);
 
-  Found found() const { return found_; }
-  const std::string& finding() const { return finding_; }  // one line, if anything is to be said
+  FolderState folder_state() const { return found_; }
+  const std::string& diagnostic() const { return finding_; }  // one line, if anything is to be said
 
   // A clean beginning under this identity: all earlier files are put aside, under names that begin with
   // "aside-", of which the newest set is kept.
-  bool begin(uint64_t generation, uint64_t identity);
+  bool initialize(uint64_t generation, uint64_t identity);
 
   uint64_t generation() const { return vote_.generation; }
   uint64_t identity() const { return vote_.identity; }
-  uint64_t promises() const { return vote_.promises; }  // how often something was made to last
+  uint64_t durable_writes() const { return vote_.promises; }  // how often something was made to last
   // As they were found. What is promised since says nothing of whether the folder is the newest one.
-  uint64_t loaded_promises() const { return loaded_promises_; }
+  uint64_t loaded_durable_writes() const { return loaded_promises_; }
   uint64_t term() const { return vote_.term; }
   uint64_t voted_for() const { return vote_.voted_for; }
   const std::deque<StoredEntry>& entries() const { return entries_; }
@@ -82,8 +83,8 @@
   bool failed() const { return failed_; }
 
   // What another was seen to have promised; grows. Lasts before true.
-  bool remember(uint64_t identity, uint64_t promises);
-  uint64_t remembered(uint64_t identity) const;
+  bool record_peer(uint64_t identity, uint64_t promises);
+  uint64_t peer_durable_writes(uint64_t identity) const;
   // The highest incarnation seen of a slot, as identity; 0: none.
   uint64_t newest_identity(uint32_t slot) const;
   const std::map<uint64_t, uint64_t>& peers() const { return peers_; }
@@ -121,7 +122,7 @@
 
   state::Files& files_;
   std::string name_;
-  Found found_ = Found::kNothing;
+  FolderState found_ = FolderState::kEmpty;
   std::string finding_;
   Vote vote_;
   std::deque<StoredEntry> entries_;
@@ -135,8 +136,8 @@
 };
 
 // One frame of a file: length, checksum, payload. Nothing: torn, damaged or over `most`. Advances `at`.
-std::string storage_frame(std::string_view payload);
-std::optional<std::string> read_frame(std::string_view bytes, size_t& at, size_t most);
+std::string encode_storage_frame(std::string_view payload);
+std::optional<std::string> read_storage_frame(std::string_view bytes, size_t& at, size_t most);
 std::string encode_entry(const StoredEntry& entry);
 std::optional<StoredEntry> decode_entry(std::string_view payload);
 std::string encode_snapshot(const StoredSnapshot& snapshot);
--- a/relay/fleet_side.cpp
+++ b/relay/fleet_side.cpp
@@ -9,16 +9,16 @@
 namespace firspool::relay {
 namespace {
 
-using umberhoist::fleet::Scouts;
-using umberhoist::fleet::Sight;
+using umberhoist::fleet::HealthReport;
+using umberhoist::fleet::TrialDuty;
 
 constexpr std::chrono::milliseconds kTick{100};
 constexpr Time kLately = 2'000'000;  // a call that was served so long ago tells that its destination is up
 
-TrialAssignment::Duty by(Scouts scouts) {
-  return scouts == Scouts::kSelf    ? TrialAssignment::Duty::kSelf
-         : scouts == Scouts::kOther ? TrialAssignment::Duty::kOther
-                                    : TrialAssignment::Duty::kShared;
+TrialAssignment::Duty by(TrialDuty scouts) {
+  return scouts == TrialDuty::kSelf    ? TrialAssignment::Duty::kSelf
+         : scouts == TrialDuty::kOther ? TrialAssignment::Duty::kOther
+                                       : TrialAssignment::Duty::kShared;
 }
 
 }  // namespace
@@ -96,35 +96,35 @@
   }
   running_ = version.number;
   text_ = version.text;
-  fleet_->runs(running_);
+  fleet_->report_running_version(running_);
   std::fprintf(stderr, "runs version %llu\n", static_cast<unsigned long long>(running_));
 }
 
 void FleetAdapter::tell_fleet(Time now) {
   const std::vector<int> held = outages_.empty() ? std::vector<int>{} : hooks_.held();
   std::erase_if(served_, [&](const auto& entry) { return now - entry.second > kLately; });
-  std::map<int, Sight> sights;
+  std::map<int, HealthReport> sights;
   for (const auto& [destination, memory] : outages_) {
-    Sight& sight = sights[destination];
-    sight.out_since = memory.outage_start;
-    sight.back_since = memory.recovery_start;
-    sight.base = memory.baseline_rate;
-    sight.scouting =
+    HealthReport& sight = sights[destination];
+    sight.outage_start = memory.outage_start;
+    sight.recovery_start = memory.recovery_start;
+    sight.baseline_rate = memory.baseline_rate;
+    sight.can_send_trial =
         memory.recovery_start == 0 && std::find(held.begin(), held.end(), destination) != held.end();
   }
-  for (const auto& [destination, at] : served_) sights[destination].served = true;
-  std::vector<Sight> out;
+  for (const auto& [destination, at] : served_) sights[destination].recently_served = true;
+  std::vector<HealthReport> out;
   for (auto& [destination, sight] : sights) {
     sight.destination = destination;
     out.push_back(sight);
   }
-  fleet_->sees(std::move(out));
+  fleet_->report_health(std::move(out));
 }
 
 void FleetAdapter::tell_module() {
   for (const auto& [destination, memory] : outages_) {
     const TrialAssignment::Duty next =
-        memory.recovery_start == 0 ? by(fleet_->scouts(destination)) : TrialAssignment::Duty::kShared;
+        memory.recovery_start == 0 ? by(fleet_->trial_duty(destination)) : TrialAssignment::Duty::kShared;
     TrialAssignment::Duty& last = scouting_[destination];
     if (next != last) hooks_.happened(TrialAssignment{destination, next});
     last = next;
@@ -135,23 +135,24 @@
       hooks_.happened(TrialAssignment{entry.first, TrialAssignment::Duty::kShared});
     return true;
   });
-  for (const Sight& sight : fleet_->sights()) {
-    if (sight.served && return_) return_->on_served_elsewhere(sight.destination);
+  for (const HealthReport& sight : fleet_->health_reports()) {
+    if (sight.recently_served && return_) return_->on_served_elsewhere(sight.destination);
     auto& last = told_[sight.destination];
     // Times that were told by way of ages shake a little; what matters is an outage or a return that is new.
-    const bool news = (sight.out_since != 0 && std::abs(sight.out_since - last.first) > kLately) ||
-                      (sight.back_since != 0) != (last.second != 0);
+    const bool news = (sight.outage_start != 0 && std::abs(sight.outage_start - last.first) > kLately) ||
+                      (sight.recovery_start != 0) != (last.second != 0);
     if (!news) continue;
-    last = {sight.out_since, sight.back_since};
-    if (sight.out_since != 0) {
-      hooks_.happened(PeerHealthReport{sight.destination, sight.out_since, sight.back_since, sight.base});
+    last = {sight.outage_start, sight.recovery_start};
+    if (sight.outage_start != 0) {
+      hooks_.happened(
+          PeerHealthReport{sight.destination, sight.outage_start, sight.recovery_start, sight.baseline_rate});
     }
   }
 }
 
 void FleetAdapter::hand_over(Time now) {
   if (!return_) return;
-  if (fleet_->heard()) return_->on_fleet_ready(now);
+  if (fleet_->is_confirmed()) return_->on_fleet_ready(now);
   for (const int destination : hooks_.destinations())
     return_->set_may_try(destination, fleet_->owns(destination));
   const auto stage = return_->stage();
--- a/relay/fleet_side.h
+++ b/relay/fleet_side.h
@@ -35,9 +35,9 @@
   void remember(const DestinationState& memory);
   void finished(uint64_t number);
   void propose(std::string text, std::function<void(bool, const std::string&)> told) {
-    fleet_->propose(std::move(text), std::move(told));
+    fleet_->propose_version(std::move(text), std::move(told));
   }
-  void leaving() { fleet_->leaving(); }
+  void leaving() { fleet_->announce_leaving(); }
 
  private:
   void tick();
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -60,11 +60,11 @@
   if (config.fleet_file.empty()) return nullptr;
 #ifdef UMBERHOIST_FLEET
   const auto fleet = umberhoist::fleet::load_config(config.fleet_file);
-  if (const std::string kept = umberhoist::fleet::kept_version(fleet); !kept.empty()) {
+  if (const std::string kept = umberhoist::fleet::load_saved_version(fleet); !kept.empty()) {
     config = within_own_limit(firspool::relay::with_common_settings(config, kept));
   }
   // Its descriptors are the process's too.
-  const size_t own = fleet.connections + fleet.voters.size() + kFleetDescriptors;
+  const size_t own = fleet.max_connections + fleet.voters.size() + kFleetDescriptors;
   if (config.max_sockets < own + kLeastSockets) {
     throw std::invalid_argument(config.fleet_file + ":1: connections are too many for limits.sockets of " +
                                 std::to_string(config.max_sockets) + "; expected " +
--- a/shards/map.cpp
+++ b/shards/map.cpp
@@ -13,7 +13,7 @@
 
 class Parser {
  public:
-  std::variant<Map, std::vector<Defect>> run(std::string_view text) {
+  std::variant<Map, std::vector<ValidationError>> run(std::string_view text) {
     try {
       read(state::parse_toml(text));
     } catch (const toml::parse_error& error) {
@@ -22,7 +22,7 @@
     }
     if (!defects_.empty()) {
       std::stable_sort(defects_.begin(), defects_.end(),
-                       [](const Defect& a, const Defect& b) { return a.line < b.line; });
+                       [](const ValidationError& a, const ValidationError& b) { return a.line < b.line; });
       return defects_;
     }
     return map_;
@@ -58,9 +58,9 @@
     if (ranges == nullptr || !ranges->is_array_of_tables()) {
       return fault(ranges == nullptr ? 0 : line(*ranges), "no range; expected tables [[range]]");
     }
-    if (ranges->as_array()->size() > kMostRanges) {
+    if (ranges->as_array()->size() > kMaxRanges) {
       return fault(line(*ranges), std::to_string(ranges->as_array()->size()) + " ranges; expected at most " +
-                                      std::to_string(kMostRanges));
+                                      std::to_string(kMaxRanges));
     }
     for (const auto& item : *ranges->as_array()) range(*item.as_table());
   }
@@ -77,9 +77,9 @@
     bound(table, "last", out.last);
     const auto* owner = table.get("owner");
     const auto name = owner == nullptr ? std::nullopt : owner->value_exact<std::string>();
-    if (!name || name->empty() || name->size() > kMostName || !state::is_printable_ascii(*name)) {
+    if (!name || name->empty() || name->size() > kMaxNameBytes || !state::is_printable_ascii(*name)) {
       fault(owner == nullptr ? out.line : line(*owner),
-            "owner is missing or wrong; expected a name of 1 to " + std::to_string(kMostName) +
+            "owner is missing or wrong; expected a name of 1 to " + std::to_string(kMaxNameBytes) +
                 " plain letters");
     } else {
       out.owner = *name;
@@ -99,7 +99,7 @@
   }
 
   Map map_;
-  std::vector<Defect> defects_;
+  std::vector<ValidationError> defects_;
 };
 
 std::string quoted(const std::string& text) {
@@ -127,7 +127,7 @@
   return XXH64(raw, sizeof raw, 0);
 }
 
-const Range* find(const Map& map, Key key) {
+const Range* find_range(const Map& map, Key key) {
   const auto after = std::upper_bound(map.ranges.begin(), map.ranges.end(), key,
                                       [](Key k, const Range& range) { return k < range.first; });
   if (after == map.ranges.begin()) return nullptr;
@@ -141,7 +141,9 @@
   return raw;
 }
 
-std::variant<Map, std::vector<Defect>> parse_map(std::string_view toml) { return Parser().run(toml); }
+std::variant<Map, std::vector<ValidationError>> parse_map(std::string_view toml) {
+  return Parser().run(toml);
+}
 
 std::string to_toml(const Map& map) {
   std::ostringstream out;
--- a/shards/map.h
+++ b/shards/map.h
@@ -14,8 +14,8 @@
 using Key = uint64_t;
 
 inline constexpr std::string_view kHash = "xxh64";  // the only one so far; named in every map all the same
-constexpr size_t kMostRanges = 4096;                // of one map: a longer file is refused as a whole
-constexpr size_t kMostName = 64;                    // bytes of an owner's name
+constexpr size_t kMaxRanges = 4096;                 // of one map: a longer file is refused as a whole
+constexpr size_t kMaxNameBytes = 64;                // bytes of an owner's name
 
 struct Range {  // both ends inside
   Key first = 0;
@@ -39,23 +39,23 @@
 };
 
 // One thing that is wrong, where, and what was expected.
-struct Defect {
+struct ValidationError {
   int line = 0;  // of the file; 0: of no line in particular
-  std::string what;
-  bool operator==(const Defect&) const = default;
+  std::string message;
+  bool operator==(const ValidationError&) const = default;
 };
 
 // XXH64, seed 0, of the destination's number as eight bytes, least first.
 Key key_of(int64_t destination);
 
 // Who owns it in a map that validates; nothing if no range holds it.
-const Range* find(const Map& map, Key key);
+const Range* find_range(const Map& map, Key key);
 
 std::string hex(Key key);  // sixteen digits
 
 // All that is wrong with the form of the file is told at once, by line. What the ranges say is the
 // validator's matter.
-std::variant<Map, std::vector<Defect>> parse_map(std::string_view toml);
+std::variant<Map, std::vector<ValidationError>> parse_map(std::string_view toml);
 std::string to_toml(const Map& map);
 
 }  // namespace umberhoist::shards
--- a/shards/plan.cpp
+++ b/shards/plan.cpp
@@ -11,7 +11,7 @@
 
 const Wide kAll = Wide{1} << 64;
 
-bool can_own(const Member& m) { return m.live && !m.leaving && m.of_generation && m.weight > 0; }
+bool can_own(const Member& m) { return m.live && !m.leaving && m.in_current_generation && m.weight > 0; }
 
 std::map<std::string, double> weights(const std::vector<Member>& members) {
   std::map<std::string, double> out;
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-std::optional<Map> first_map(const std::vector<Member>& members, uint64_t epoch) {
+std::optional<Map> initial_map(const std::vector<Member>& members, uint64_t epoch) {
   const auto shares = due(weights(members));
   if (shares.empty()) return std::nullopt;
   Map out;
@@ -110,7 +110,7 @@
 
 std::optional<Map> repair(const Map& present, const std::vector<Member>& members) {
   std::map<std::string, bool> sound;
-  for (const Member& member : members) sound[member.name] = member.live && member.of_generation;
+  for (const Member& member : members) sound[member.name] = member.live && member.in_current_generation;
   const auto has = held(present);
   std::map<std::string, Wide> lost;
   Wide all = 0;
@@ -140,7 +140,8 @@
   return hand_over(present, lost, lacking, kAll);
 }
 
-std::optional<Map> rebalance(const Map& present, const std::vector<Member>& members, const Bounds& bounds) {
+std::optional<Map> rebalance(const Map& present, const std::vector<Member>& members,
+                             const MapLimits& bounds) {
   const auto can = weights(members);
   if (can.empty()) return std::nullopt;
   const auto shares = due(can);
@@ -164,7 +165,8 @@
     if (now < keys) lacking[name] = keys - now;
   }
   if (!wanted || lacking.empty()) return std::nullopt;
-  const auto budget = static_cast<Wide>(std::floor(std::clamp(bounds.most_moved, 0.0, 1.0) * 0x1p62)) << 2;
+  const auto budget = static_cast<Wide>(std::floor(std::clamp(bounds.max_moved_share, 0.0, 1.0) * 0x1p62))
+                      << 2;
   if (budget == 0) return std::nullopt;
   return hand_over(present, surplus, lacking, budget);
 }
--- a/shards/validate.cpp
+++ b/shards/validate.cpp
@@ -26,18 +26,18 @@
 
 class Validator {
  public:
-  Validator(const Map& map, const Against& against) : map_(map), against_(against) {}
+  Validator(const Map& map, const ValidationContext& against) : map_(map), against_(against) {}
 
-  std::vector<Defect> run() {
+  std::vector<ValidationError> run() {
     head();
     form();
     const bool covers = cover();
     owners();
     if (covers && against_.members != nullptr) {
-      if (against_.step == Step::kRebalance) weigh();
+      if (against_.change_type == MapChangeType::kRebalance) weigh();
       zones();
     }
-    if (covers && against_.present != nullptr) moves();
+    if (covers && against_.current != nullptr) moves();
     return std::move(out_);
   }
 
@@ -48,15 +48,15 @@
     if (map_.hash != kHash) {
       fault(map_.hash_line, "hash is '" + map_.hash + "'; expected '" + std::string(kHash) + "'");
     }
-    if (against_.present == nullptr) return;
-    if (map_.epoch != against_.present->epoch + 1) {
+    if (against_.current == nullptr) return;
+    if (map_.epoch != against_.current->epoch + 1) {
       fault(map_.epoch_line, "epoch is " + std::to_string(map_.epoch) + "; expected " +
-                                 std::to_string(against_.present->epoch + 1) +
+                                 std::to_string(against_.current->epoch + 1) +
                                  ", the next after the present map's");
     }
-    if (map_.hash != against_.present->hash) {
+    if (map_.hash != against_.current->hash) {
       fault(map_.hash_line,
-            "hash changes from '" + against_.present->hash + "' to '" + map_.hash + "'; expected the same");
+            "hash changes from '" + against_.current->hash + "' to '" + map_.hash + "'; expected the same");
     }
   }
 
@@ -68,9 +68,9 @@
                               " is empty or wraps; expected first at or before last");
         continue;
       }
-      if (range.last > against_.bounds.last_key) {
+      if (range.last > against_.limits.last_key) {
         fault(range.line, "range " + bounds(range.first, range.last) + " of " + name(range) +
-                              " ends after the last key " + hex(against_.bounds.last_key));
+                              " ends after the last key " + hex(against_.limits.last_key));
       }
       if (before != nullptr && range.first < before->first) {
         fault(range.line, "range " + bounds(range.first, range.last) + " of " + name(range) +
@@ -100,13 +100,13 @@
                                name(*other) + " and " + name(*range));
       }
       open.push_back(range);
-      if (range->last >= against_.bounds.last_key) {
+      if (range->last >= against_.limits.last_key) {
         ended = true;
       } else if (!ended) {
         next = std::max(next, range->last + 1);
       }
     }
-    if (!ended) fault(0, "gap " + bounds(next, against_.bounds.last_key) + ": no owner");
+    if (!ended) fault(0, "gap " + bounds(next, against_.limits.last_key) + ": no owner");
     return out_.size() == before;
   }
 
@@ -120,7 +120,7 @@
       const auto it = known.find(range.owner);
       if (it == known.end()) {
         fault(range.line, "owner '" + range.owner + "' is no member");
-      } else if (!it->second->of_generation) {
+      } else if (!it->second->in_current_generation) {
         fault(range.line, "owner '" + range.owner + "' is of an earlier generation");
       } else if (!it->second->live) {
         fault(range.line, "owner '" + range.owner + "' is not live");
@@ -132,9 +132,9 @@
 
   // Whoever leaves may keep for another step what it has, but gets nothing.
   bool gains(const std::string& owner) const {
-    if (against_.present == nullptr) return true;
+    if (against_.current == nullptr) return true;
     for (const Range& range : map_.ranges) {
-      for (const Range& old : against_.present->ranges) {
+      for (const Range& old : against_.current->ranges) {
         const bool overlap = range.first <= old.last && old.first <= range.last;
         if (range.owner == owner && old.owner != owner && overlap) return true;
       }
@@ -142,19 +142,21 @@
     return false;
   }
 
-  static bool can_own(const Member& m) { return m.live && !m.leaving && m.of_generation && m.weight > 0; }
+  static bool can_own(const Member& m) {
+    return m.live && !m.leaving && m.in_current_generation && m.weight > 0;
+  }
 
   void weigh() {
-    const double factor = against_.bounds.share_factor;
+    const double factor = against_.limits.share_factor;
     if (factor <= 0) return;
     double total = 0;
     for (const Member& member : *against_.members) total += can_own(member) ? member.weight : 0;
     if (total <= 0) return;
     std::map<std::string, double> held;
-    for (const auto& [owner, share] : shares(map_, against_.bounds.last_key)) held[owner] = share;
+    for (const auto& [owner, share] : shares(map_, against_.limits.last_key)) held[owner] = share;
     std::map<std::string, double> before;
-    if (against_.present != nullptr) {
-      for (const auto& [owner, share] : shares(*against_.present, against_.bounds.last_key))
+    if (against_.current != nullptr) {
+      for (const auto& [owner, share] : shares(*against_.current, against_.limits.last_key))
         before[owner] = share;
     }
     std::map<std::string, const Member*> sorted;
@@ -164,7 +166,7 @@
       const double due = member->weight / total;
       const double has = held.contains(owner) ? held.at(owner) : 0;
       // A step on the way may leave a share outside, but not push it further out.
-      const bool was = against_.present != nullptr;
+      const bool was = against_.current != nullptr;
       const double had = before.contains(owner) ? before.at(owner) : 0;
       if ((has > due * factor && !(was && has <= had)) || (has < due / factor && !(was && has >= had))) {
         fault(0, "'" + owner + "' has " + percent(has) + " of the keys; expected " + percent(due / factor) +
@@ -174,7 +176,7 @@
   }
 
   void zones() {
-    if (!against_.bounds.zones_apart) return;
+    if (!against_.limits.require_two_zones) return;
     std::map<std::string, std::string> zone_of;
     std::set<std::string> there, used;
     for (const Member& member : *against_.members) {
@@ -191,13 +193,13 @@
   }
 
   void moves() {
-    const Map& present = *against_.present;
-    const Key last_key = against_.bounds.last_key;
-    if (against_.step == Step::kRebalance) {
-      const double share = moved(present, map_, last_key);
-      if (share > against_.bounds.most_moved) {
+    const Map& present = *against_.current;
+    const Key last_key = against_.limits.last_key;
+    if (against_.change_type == MapChangeType::kRebalance) {
+      const double share = moved_share(present, map_, last_key);
+      if (share > against_.limits.max_moved_share) {
         fault(0, percent(share) + " of the keys move; expected at most " +
-                     percent(against_.bounds.most_moved) + " in one step");
+                     percent(against_.limits.max_moved_share) + " in one step");
       }
       return;
     }
@@ -205,7 +207,7 @@
     std::set<std::string> sound;
     if (against_.members != nullptr) {
       for (const Member& member : *against_.members) {
-        if (member.live && member.of_generation) sound.insert(member.name);
+        if (member.live && member.in_current_generation) sound.insert(member.name);
       }
     }
     for (const Range& old : present.ranges) {
@@ -221,13 +223,13 @@
   }
 
   const Map& map_;
-  const Against& against_;
-  std::vector<Defect> out_;
+  const ValidationContext& against_;
+  std::vector<ValidationError> out_;
 };
 
 }  // namespace
 
-std::vector<Defect> validate(const Map& proposed, const Against& against) {
+std::vector<ValidationError> validate(const Map& proposed, const ValidationContext& against) {
   return Validator(proposed, against).run();
 }
 
@@ -237,7 +239,7 @@
   return {sum.begin(), sum.end()};
 }
 
-double moved(const Map& from, const Map& to, Key last_key) {
+double moved_share(const Map& from, const Map& to, Key last_key) {
   double sum = 0;
   auto a = from.ranges.begin();
   auto b = to.ranges.begin();
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -272,8 +272,8 @@
                        std::chrono::system_clock::now().time_since_epoch())
                        .count();
   return "approvers = [\"ann\", \"bo\"]\n[[window]]\nid = \"sale\"\nstart = " +
-         freeze::text(now + from_s * 1'000'000) + "\nend = " + freeze::text(now + to_s * 1'000'000) +
-         "\ndeclared_by = \"trading\"\n";
+         freeze::format_instant(now + from_s * 1'000'000) +
+         "\nend = " + freeze::format_instant(now + to_s * 1'000'000) + "\ndeclared_by = \"trading\"\n";
 }
 
 TEST_F(Fleet, InsideAWindowNothingChangesButFactsAndWhatTwoApproversStandFor) {
@@ -389,7 +389,7 @@
 TEST_F(Fleet, OneRelayScoutsForAllAndItsWordIsTheOthers) {
   begin(3);
   const shards::Map held = map(0);
-  const std::string owner = shards::find(held, shards::key_of(7))->owner;
+  const std::string owner = shards::find_range(held, shards::key_of(7))->owner;
   // New messages all the time, as a repeat pays from a bucket that is empty soon.
   std::atomic<bool> over = false;
   std::thread clients([&] {
--- a/tests/freeze/calendar_test.cpp
+++ b/tests/freeze/calendar_test.cpp
@@ -13,17 +13,18 @@
 
 Calendar parsed(const std::string& toml) {
   const auto out = parse_calendar(toml);
-  if (const auto* defects = std::get_if<std::vector<Defect>>(&out)) {
-    for (const auto& d : *defects) ADD_FAILURE() << d.line << ": " << d.what;
+  if (const auto* defects = std::get_if<std::vector<ValidationError>>(&out)) {
+    for (const auto& d : *defects) ADD_FAILURE() << d.line << ": " << d.message;
     return {};
   }
   return std::get<Calendar>(out);
 }
 
-std::vector<Defect> defects(const std::string& toml) {
+std::vector<ValidationError> defects(const std::string& toml) {
   const auto out = parse_calendar(toml);
-  return std::holds_alternative<std::vector<Defect>>(out) ? std::get<std::vector<Defect>>(out)
-                                                          : std::vector<Defect>{};
+  return std::holds_alternative<std::vector<ValidationError>>(out)
+             ? std::get<std::vector<ValidationError>>(out)
+             : std::vector<ValidationError>{};
 }
 
 const char* const kSongkran = R"(
@@ -43,23 +44,23 @@
   const Calendar calendar = parsed(kSongkran);
   const Instant start = *parse_instant("2027-04-12T00:00:00+07:00");
   const Instant end = *parse_instant("2027-04-15T17:00:00Z");
-  const Change change{Kind::kMap, {3}};
-  EXPECT_FALSE(judge(calendar, change, {start - 1, start - 1}).closed);
-  EXPECT_TRUE(judge(calendar, change, {start, start}).closed);
-  EXPECT_TRUE(judge(calendar, change, {end - 1, end - 1}).closed);
-  EXPECT_FALSE(judge(calendar, change, {end, end}).closed);
-  EXPECT_FALSE(judge(calendar, {Kind::kSettings, {3}}, {start, start}).closed);  // another kind
-  EXPECT_FALSE(judge(calendar, {Kind::kMap, {4}}, {start, start}).closed);       // another destination
-  EXPECT_TRUE(judge(calendar, {Kind::kMap, {}}, {start, start}).closed);         // any destination
+  const Change change{ChangeKind::kMap, {3}};
+  EXPECT_FALSE(evaluate(calendar, change, {start - 1, start - 1}).closed);
+  EXPECT_TRUE(evaluate(calendar, change, {start, start}).closed);
+  EXPECT_TRUE(evaluate(calendar, change, {end - 1, end - 1}).closed);
+  EXPECT_FALSE(evaluate(calendar, change, {end, end}).closed);
+  EXPECT_FALSE(evaluate(calendar, {ChangeKind::kSettings, {3}}, {start, start}).closed);  // another kind
+  EXPECT_FALSE(evaluate(calendar, {ChangeKind::kMap, {4}}, {start, start}).closed);  // another destination
+  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {start, start}).closed);    // any destination
 }
 
 TEST(Calendar, WhereABoundTouchesAWindowChangesAreClosed) {
   const Calendar calendar = parsed(kSongkran);
   const Instant start = calendar.windows[0].start, end = calendar.windows[0].end;
-  EXPECT_TRUE(judge(calendar, {Kind::kMap, {}}, {start - 600 * kSecond, start}).closed);
-  EXPECT_TRUE(judge(calendar, {Kind::kMap, {}}, {end - 1, end + 600 * kSecond}).closed);
-  EXPECT_TRUE(judge(calendar, {Kind::kMap, {}}, {start - 1, end + 1}).closed);
-  EXPECT_FALSE(judge(calendar, {Kind::kMap, {}}, {end, end + 600 * kSecond}).closed);
+  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {start - 600 * kSecond, start}).closed);
+  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {end - 1, end + 600 * kSecond}).closed);
+  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {start - 1, end + 1}).closed);
+  EXPECT_FALSE(evaluate(calendar, {ChangeKind::kMap, {}}, {end, end + 600 * kSecond}).closed);
 }
 
 TEST(Calendar, BackToBackAndOverlappingWindowsAreClosedUntilTheLastEnd) {
@@ -81,9 +82,9 @@
 declared_by = "t"
 )");
   const Instant at = *parse_instant("2027-01-01T00:30:00Z");
-  const auto verdict = judge(calendar, {Kind::kLimits, {}}, {at, at});
-  EXPECT_EQ(verdict.window, "a");
-  EXPECT_EQ(text(verdict.end), "2027-01-01T03:00:00Z");
+  const auto verdict = evaluate(calendar, {ChangeKind::kLimits, {}}, {at, at});
+  EXPECT_EQ(verdict.window_id, "a");
+  EXPECT_EQ(format_instant(verdict.reopens_at), "2027-01-01T03:00:00Z");
 }
 
 TEST(Calendar, OneThatEndsInTheSecondInWhichItStarts) {
@@ -91,7 +92,7 @@
       "[[window]]\nid = \"a\"\nstart = 2027-01-01T00:00:00.2Z\nend = 2027-01-01T00:00:00.7Z\ndeclared_by = "
       "\"t\"\n");
   const Instant at = *parse_instant("2027-01-01T00:00:00.5Z");
-  EXPECT_TRUE(judge(calendar, {Kind::kMap, {}}, {at, at}).closed);
+  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {at, at}).closed);
   EXPECT_EQ(defects("[[window]]\nid = \"a\"\nstart = 2027-01-01T00:00:00Z\nend = 2027-01-01T00:00:00Z\n"
                     "declared_by = \"t\"\n")
                 .size(),
@@ -117,28 +118,28 @@
 TEST(Calendar, InForceOrWithinItsNoticeAWindowMayOnlyBeExtended) {
   const Calendar present = parsed(kSongkran);
   const Instant start = present.windows[0].start;
-  const Bounds before{start - 25 * 3600 * kSecond, start - 25 * 3600 * kSecond};
-  const Bounds noticed{start - 23 * 3600 * kSecond, start - 23 * 3600 * kSecond};
+  const TimeBounds before{start - 25 * 3600 * kSecond, start - 25 * 3600 * kSecond};
+  const TimeBounds noticed{start - 23 * 3600 * kSecond, start - 23 * 3600 * kSecond};
   Calendar next = present;
   next.windows.clear();
-  EXPECT_TRUE(check_edit(present, next, before).empty());
-  EXPECT_EQ(check_edit(present, next, noticed).size(), 1U);
+  EXPECT_TRUE(edit_violations(present, next, before).empty());
+  EXPECT_EQ(edit_violations(present, next, noticed).size(), 1U);
   next = present;
   next.windows[0].end += kSecond;
   next.windows[0].destinations.clear();  // all of them: more than before
-  EXPECT_TRUE(check_edit(present, next, noticed).empty());
+  EXPECT_TRUE(edit_violations(present, next, noticed).empty());
   next = present;
   next.windows[0].end -= 1;
-  EXPECT_EQ(check_edit(present, next, noticed).size(), 1U);
+  EXPECT_EQ(edit_violations(present, next, noticed).size(), 1U);
   next = present;
-  next.windows[0].changes.erase(Kind::kMap);
-  EXPECT_EQ(check_edit(present, next, noticed).size(), 1U);
+  next.windows[0].change_kinds.erase(ChangeKind::kMap);
+  EXPECT_EQ(edit_violations(present, next, noticed).size(), 1U);
   next = present;
   next.windows.push_back({"z", "", start, start + kSecond, {}, {}, "t", 0, 0});  // declared at any time
-  EXPECT_TRUE(check_edit(present, next, {start, start}).empty());
+  EXPECT_TRUE(edit_violations(present, next, {start, start}).empty());
   next = present;
   next.approvers.insert("mallory");  // who would then approve of everything
-  EXPECT_EQ(check_edit(present, next, {start, start}).size(), 1U);
+  EXPECT_EQ(edit_violations(present, next, {start, start}).size(), 1U);
 }
 
 TEST(Calendar, AgreesWithAModelThatLooksAtEverySecond) {
@@ -146,7 +147,7 @@
   constexpr int kSpan = 120;
   for (int round = 0; round < 3000; ++round) {
     Calendar calendar;
-    std::vector<std::vector<std::set<int64_t>>> closed(std::size(kKinds),
+    std::vector<std::vector<std::set<int64_t>>> closed(std::size(kChangeKinds),
                                                        std::vector<std::set<int64_t>>(kSpan));
     for (size_t w = random() % 5; w > 0; --w) {
       Window window;
@@ -154,14 +155,14 @@
       const int from = static_cast<int>(random() % kSpan), to = from + 1 + static_cast<int>(random() % 30);
       window.start = from * kSecond;
       window.end = to * kSecond;
-      for (const Kind kind : kKinds) {
-        if (random() % 3 == 0) window.changes.insert(kind);
+      for (const ChangeKind kind : kChangeKinds) {
+        if (random() % 3 == 0) window.change_kinds.insert(kind);
       }
       for (int64_t d = 1; d <= 3; ++d) {
         if (random() % 3 == 0) window.destinations.insert(d);
       }
-      for (size_t k = 0; k < std::size(kKinds); ++k) {
-        if (!window.changes.empty() && !window.changes.contains(kKinds[k])) continue;
+      for (size_t k = 0; k < std::size(kChangeKinds); ++k) {
+        if (!window.change_kinds.empty() && !window.change_kinds.contains(kChangeKinds[k])) continue;
         for (int s = from; s < std::min(to, kSpan); ++s) {
           for (int64_t d = 1; d <= 3; ++d) {
             if (window.destinations.empty() || window.destinations.contains(d))
@@ -172,10 +173,10 @@
       calendar.windows.push_back(window);
     }
     for (int question = 0; question < 30; ++question) {
-      const size_t k = random() % std::size(kKinds);
+      const size_t k = random() % std::size(kChangeKinds);
       const int from = static_cast<int>(random() % kSpan);
       const int to = std::min(kSpan - 1, from + static_cast<int>(random() % 8));
-      Change change{kKinds[k], {}};
+      Change change{kChangeKinds[k], {}};
       if (random() % 2 == 0) change.destinations.insert(1 + static_cast<int64_t>(random() % 3));
       bool expected = false;
       for (int s = from; s <= to; ++s) {
@@ -185,24 +186,24 @@
       }
       // The middle of the seconds: windows begin and end at whole ones.
       const auto verdict =
-          judge(calendar, change, {from * kSecond + kSecond / 2, to * kSecond + kSecond / 2});
+          evaluate(calendar, change, {from * kSecond + kSecond / 2, to * kSecond + kSecond / 2});
       ASSERT_EQ(verdict.closed, expected) << "round " << round;
       if (!expected || from != to) continue;
       // And when it says that changes are open again, they are: not one second sooner.
-      for (int s = from; s * kSecond < verdict.end && s < kSpan; ++s) {
+      for (int s = from; s * kSecond < verdict.reopens_at && s < kSpan; ++s) {
         const auto& now = closed[k][static_cast<size_t>(s)];
         EXPECT_TRUE(change.destinations.empty() ? !now.empty() : now.contains(*change.destinations.begin()));
       }
-      EXPECT_FALSE(judge(calendar, change, {verdict.end, verdict.end}).closed);
+      EXPECT_FALSE(evaluate(calendar, change, {verdict.reopens_at, verdict.reopens_at}).closed);
     }
   }
 }
 
 TEST(Calendar, NextStartAndTimes) {
   const Calendar calendar = parsed(kSongkran);
-  EXPECT_EQ(next_start(calendar, {Kind::kReload, {}}, 0), calendar.windows[0].start);
-  EXPECT_EQ(next_start(calendar, {Kind::kReload, {}}, calendar.windows[0].start), std::nullopt);
-  EXPECT_EQ(next_start(calendar, {Kind::kSettings, {}}, 0), std::nullopt);
+  EXPECT_EQ(next_window_start(calendar, {ChangeKind::kReload, {}}, 0), calendar.windows[0].start);
+  EXPECT_EQ(next_window_start(calendar, {ChangeKind::kReload, {}}, calendar.windows[0].start), std::nullopt);
+  EXPECT_EQ(next_window_start(calendar, {ChangeKind::kSettings, {}}, 0), std::nullopt);
   for (const char* bad : {"", "2027-04-12", "2027-04-12T00:00:00", "2027-04-12T00:00:00Z\nx = 1", "1 # 2",
                           "2027-13-12T00:00:00Z"}) {
     EXPECT_EQ(parse_instant(bad), std::nullopt) << bad;
--- a/tests/fuzz/fleet_fuzz.cpp
+++ b/tests/fuzz/fleet_fuzz.cpp
@@ -26,9 +26,9 @@
   if (!validate(*map, {}).empty()) return;
   // Right: each end of a range has the range as its owner, and every neighbour another or the same.
   for (const Range& range : map->ranges) {
-    hold(find(*map, range.first) == &range && find(*map, range.last) == &range);
+    hold(find_range(*map, range.first) == &range && find_range(*map, range.last) == &range);
   }
-  hold(find(*map, 0) != nullptr && find(*map, UINT64_MAX) != nullptr);
+  hold(find_range(*map, 0) != nullptr && find_range(*map, UINT64_MAX) != nullptr);
 }
 
 void fuzz_calendar(const std::string& text) {
@@ -38,10 +38,10 @@
   if (calendar == nullptr) return;
   hold(reg::from_pb(reg::to_pb(*calendar)) == *calendar);
   for (const freeze::Window& window : calendar->windows) {
-    for (const freeze::Kind kind : freeze::kKinds) {
-      if (!window.changes.empty() && !window.changes.contains(kind)) continue;
-      hold(freeze::judge(*calendar, {kind, {}}, {window.start, window.start}).closed);
-      hold(freeze::judge(*calendar, {kind, {}}, {window.end - 1, window.end + 5}).closed);
+    for (const freeze::ChangeKind kind : freeze::kChangeKinds) {
+      if (!window.change_kinds.empty() && !window.change_kinds.contains(kind)) continue;
+      hold(freeze::evaluate(*calendar, {kind, {}}, {window.start, window.start}).closed);
+      hold(freeze::evaluate(*calendar, {kind, {}}, {window.end - 1, window.end + 5}).closed);
     }
   }
 }
@@ -49,7 +49,7 @@
 void fuzz_storage(const std::string& text) {
   using namespace umberhoist::reg;
   size_t at = 0;
-  while (const auto payload = read_frame(text, at, kMostEntryBytes)) {
+  while (const auto payload = read_storage_frame(text, at, kMaxEntryBytes)) {
     hold(at <= text.size());
     if (const auto entry = decode_entry(*payload)) hold(encode_entry(*entry) == *payload);
     if (const auto snapshot = decode_snapshot(*payload)) hold(encode_snapshot(*snapshot) == *payload);
@@ -58,21 +58,21 @@
   if (const auto entry = decode_entry(text)) hold(encode_entry(*entry) == text);
   if (const auto snapshot = decode_snapshot(text)) hold(encode_snapshot(*snapshot) == text);
   size_t whole = 0;
-  hold(read_frame(storage_frame(text), whole, text.size()) == text);
+  hold(read_storage_frame(encode_storage_frame(text), whole, text.size()) == text);
 }
 
 void fuzz_frames(std::string bytes) {
   bool bad = false;
-  while (const auto frame = umberhoist::fleet::unpack(bytes, bad)) {
-    std::string packed = umberhoist::fleet::pack(*frame);
-    const auto again = umberhoist::fleet::unpack(packed, bad);
+  while (const auto frame = umberhoist::fleet::decode_frame(bytes, bad)) {
+    std::string packed = umberhoist::fleet::encode_frame(*frame);
+    const auto again = umberhoist::fleet::decode_frame(packed, bad);
     hold(again && packed.empty());
   }
 }
 
 void fuzz_machine(const std::string& bytes) {
   // Commands one after the other, as a log might hold them: never a crash, and the same state each time.
-  umberhoist::reg::Machine one({}), other({});
+  umberhoist::reg::StateMachine one({}), other({});
   uint64_t index = 0;
   size_t at = 0;
   while (at < bytes.size()) {
@@ -80,11 +80,11 @@
     umberhoist::register_pb::Command command;
     if (!command.ParseFromArray(bytes.data() + at + 1, static_cast<int>(size))) command.Clear();
     ++index;
-    hold(one.apply(index, command).done == other.apply(index, command).done);
+    hold(one.apply(index, command).applied == other.apply(index, command).applied);
     at += size + 1;
   }
   hold(one.digest() == other.digest());
-  umberhoist::reg::Machine restored({});
+  umberhoist::reg::StateMachine restored({});
   restored.restore(one.state());
   hold(restored.digest() == one.digest());
 }
--- a/tests/register/made_up_fleet.h
+++ b/tests/register/made_up_fleet.h
@@ -51,8 +51,8 @@
     }
     for (size_t i = 0; i < voters; ++i) voters_.push_back({name(i), static_cast<uint32_t>(i + 1)});
     options.rules.guard_us = 8 * kSec;
-    options.rules.rollout_us = 30 * kSec;
-    options.rules.map.share_factor = 4;
+    options.rules.rollout_timeout_us = 30 * kSec;
+    options.rules.map_limits.share_factor = 4;
   }
 
   static std::string name(size_t i) { return "n" + std::to_string(i + 1); }
@@ -127,7 +127,7 @@
   bool up(size_t i) const { return relays[i].node && !relays[i].stopped; }
   int leader() const {
     for (size_t i = 0; i < relays.size(); ++i) {
-      if (up(i) && relays[i].node->leads()) return static_cast<int>(i);
+      if (up(i) && relays[i].node->is_leader()) return static_cast<int>(i);
     }
     return -1;
   }
@@ -135,7 +135,7 @@
     uint64_t epoch = 0;
     for (const Relay& relay : relays) {
       if (!relay.node || relay.stopped) continue;
-      const pb::State& state = relay.node->machine().state();
+      const pb::State& state = relay.node->state_machine().state();
       if (state.map().epoch() == 0 || state.proposed().epoch() != 0) return false;
       if (epoch != 0 && state.map().epoch() != epoch) return false;
       epoch = state.map().epoch();
@@ -154,7 +154,7 @@
       size_t owners = 0;
       for (const Relay& relay : relays) {
         owners += relay.node && !relay.stopped &&
-                  relay.node->standing(key, now_of(relay).steady_us) == Standing::kOwner;
+                  relay.node->ownership(key, now_of(relay).steady_us) == Ownership::kOwner;
       }
       if (owners == 0) out.push_back(key);
     }
@@ -164,7 +164,7 @@
   std::pair<bool, std::string> ask(size_t i, const pb::Ask& ask) {
     bool over = false;
     std::pair<bool, std::string> out;
-    node(i).ask(ask, now_of(relays[i]), [&](bool done, const std::string& text) {
+    node(i).handle_request(ask, now_of(relays[i]), [&](bool done, const std::string& text) {
       over = true;
       out = {done, text};
     });
@@ -227,7 +227,7 @@
       relays[i].node->tick(now_of(relays[i]));
       if (follows_versions && relays[i].node->confirmed(now_of(relays[i]).steady_us)) {
         relays[i].runs = relays[i].node->version().number();
-        relays[i].node->runs_version(relays[i].runs);
+        relays[i].node->set_running_version(relays[i].runs);
       }
     }
     judge();
@@ -278,7 +278,7 @@
       std::string owner;
       for (const Relay& relay : relays) {
         if (!relay.node || relay.stopped) continue;
-        if (relay.node->standing(key, now_of(relay).steady_us) != Standing::kOwner) continue;
+        if (relay.node->ownership(key, now_of(relay).steady_us) != Ownership::kOwner) continue;
         if (!owner.empty())
           breach("key " + shards::hex(key) + " has two owners, " + owner + " and " + relay.name);
         owner = relay.name;
@@ -286,13 +286,13 @@
     }
     for (const Relay& relay : relays) {
       if (!relay.node) continue;
-      const Machine& machine = relay.node->machine();
+      const StateMachine& machine = relay.node->state_machine();
       const pb::State& state = machine.state();
       if (state.index() == 0) continue;
       const auto place = std::pair(state.generation(), state.index());
       if (seen_.contains(relay.name) && seen_.at(relay.name) == place) continue;
       seen_[relay.name] = place;
-      const std::string bytes = machine.bytes();
+      const std::string bytes = machine.serialize();
       const auto [it, fresh] = history_.emplace(place, bytes);
       if (!fresh && it->second != bytes) {
         breach("command " + std::to_string(state.index()) + " left another state at " + relay.name);
@@ -305,9 +305,9 @@
   // No version is run for the first time inside a window, and whoever hears the leader all the time runs what
   // the others run. (A relay that was away comes to what was agreed on meanwhile.)
   void judge_versions() {
-    const bool closed =
-        freeze::judge(from_pb(last_.calendar()), {freeze::Kind::kReload, {}}, {true_wall(), true_wall()})
-            .closed;
+    const bool closed = freeze::evaluate(from_pb(last_.calendar()), {freeze::ChangeKind::kReload, {}},
+                                         {true_wall(), true_wall()})
+                            .closed;
     const bool excepted = std::any_of(last_.approval().begin(), last_.approval().end(),
                                       [](const pb::Approval& a) { return a.used(); });
     std::set<uint64_t> run;
@@ -328,20 +328,20 @@
 
   void judge_change(const pb::State& now) {
     if (now.generation() == last_.generation() && now.index() == last_.index() + 1) {
-      const auto closed = [&](freeze::Kind kind) {
-        return freeze::judge(from_pb(last_.calendar()), {kind, {}}, {true_wall(), true_wall()}).closed;
+      const auto closed = [&](freeze::ChangeKind kind) {
+        return freeze::evaluate(from_pb(last_.calendar()), {kind, {}}, {true_wall(), true_wall()}).closed;
       };
       const bool excepted = std::any_of(now.approval().begin(), now.approval().end(),
                                         [](const pb::Approval& a) { return a.used(); });
       if (last_.map().epoch() != 0 && now.map().epoch() != last_.map().epoch() && !last_.proposed_repair() &&
-          closed(freeze::Kind::kMap) && !excepted) {
+          closed(freeze::ChangeKind::kMap) && !excepted) {
         breach("map " + std::to_string(now.map().epoch()) + " was committed inside a window");
       }
     }
     if (now.generation() > last_.generation() || now.index() > last_.index()) last_ = now;
   }
 
-  std::vector<Peer> voters_;
+  std::vector<Voter> voters_;
   std::map<std::pair<size_t, size_t>, Link> links_;
   std::priority_queue<Flying> flying_;
   uint64_t order_ = 0;
--- a/tests/register/node_test.cpp
+++ b/tests/register/node_test.cpp
@@ -36,14 +36,14 @@
 TEST(Register, ThreeVotersAgreeOnAFirstMapAndEveryKeyHasOneOwner) {
   Fleet fleet(3, 3, 1);
   fleet.begin();
-  EXPECT_EQ(fleet.node(0).machine().state().map().epoch(), 1U);
-  EXPECT_EQ(fleet.node(0).machine().digest(), fleet.node(2).machine().digest());
+  EXPECT_EQ(fleet.node(0).state_machine().state().map().epoch(), 1U);
+  EXPECT_EQ(fleet.node(0).state_machine().digest(), fleet.node(2).state_machine().digest());
 }
 
 TEST(Register, CopiesFollowAndOwnToo) {
   Fleet fleet(9, 3, 2);
   fleet.begin();
-  EXPECT_EQ(fleet.node(8).machine().state().map().range_size(), 9);
+  EXPECT_EQ(fleet.node(8).state_machine().state().map().range_size(), 9);
 }
 
 // ---- Power and processes ----
@@ -51,13 +51,13 @@
 TEST(Register, AllRelaysKilledInOneInstantComeBackWithWhatWasAgreed) {
   Fleet fleet(5, 3, 3);
   fleet.begin();
-  const uint64_t digest = fleet.node(0).machine().digest();
-  const auto epoch = fleet.node(0).machine().state().map().epoch();
+  const uint64_t digest = fleet.node(0).state_machine().digest();
+  const auto epoch = fleet.node(0).state_machine().state().map().epoch();
   for (size_t i = 0; i < 5; ++i) fleet.kill(i, true);
   EXPECT_NE(digest, 0U);
   fleet.start_all();
   ASSERT_TRUE(fleet.settled()) << fleet.state();
-  EXPECT_GE(fleet.node(0).machine().state().map().epoch(), epoch);
+  EXPECT_GE(fleet.node(0).state_machine().state().map().epoch(), epoch);
   for (size_t i = 0; i < 3; ++i) EXPECT_FALSE(fleet.said(i, "newcomer")) << fleet.state();
 }
 
@@ -73,7 +73,7 @@
 }
 
 shards::Map moved_by_hand(
-    const Machine& machine) {  // a sixteenth of the keys from the first owner to the second
+    const StateMachine& machine) {  // a sixteenth of the keys from the first owner to the second
   shards::Map map = machine.map();
   ++map.epoch;
   const shards::Key cut = map.ranges[0].last - (uint64_t{1} << 60);
@@ -86,22 +86,23 @@
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     Fleet fleet(5, 3, seed);
     fleet.begin();
-    const shards::Map next = moved_by_hand(fleet.node(0).machine());
+    const shards::Map next = moved_by_hand(fleet.node(0).state_machine());
     // One that does not answer holds the commit up until its lease is over: the kill falls in between.
     fleet.cut_off(4);
     pb::Ask ask;
     ask.set_verb(pb::Ask::kProposeMap);
     ask.set_text(shards::to_toml(next));
-    fleet.node(0).ask(ask, fleet.now_of(fleet.relays[0]), [](bool, const std::string&) {});
+    fleet.node(0).handle_request(ask, fleet.now_of(fleet.relays[0]), [](bool, const std::string&) {});
     ASSERT_TRUE(fleet.until(5 * kSec, [&] {
       const int leader = fleet.leader();
-      return leader >= 0 && fleet.node(static_cast<size_t>(leader)).machine().state().proposed().epoch() != 0;
+      return leader >= 0 &&
+             fleet.node(static_cast<size_t>(leader)).state_machine().state().proposed().epoch() != 0;
     }));
     for (size_t i = 0; i < 5; ++i) fleet.kill(i, true);
     fleet.heal();
     fleet.start_all();
     ASSERT_TRUE(fleet.settled()) << fleet.state();
-    EXPECT_EQ(fleet.node(1).machine().state().map().epoch(), 2U);
+    EXPECT_EQ(fleet.node(1).state_machine().state().map().epoch(), 2U);
   }
 }
 
@@ -112,12 +113,12 @@
   fleet.relays[1].folder.clear();
   fleet.run(5 * kSec);
   fleet.start(1);
-  ASSERT_TRUE(fleet.until(60 * kSec, [&] { return fleet.node(1).votes() && fleet.all_keep_map(); }))
+  ASSERT_TRUE(fleet.until(60 * kSec, [&] { return fleet.node(1).is_voting() && fleet.all_keep_map(); }))
       << fleet.state();
   EXPECT_TRUE(fleet.said(1, "newcomer"));
   EXPECT_EQ(Storage::incarnation_of(fleet.node(1).identity()), 2U);
   // And it counts again: with another voter away the two of them agree.
-  ASSERT_TRUE(fleet.until(60 * kSec, [&] { return fleet.node(1).machine().state().index() > 0; }));
+  ASSERT_TRUE(fleet.until(60 * kSec, [&] { return fleet.node(1).state_machine().state().index() > 0; }));
   fleet.run(10 * kSec);
   fleet.kill(2);
   EXPECT_TRUE(fleet.settled()) << fleet.state();
@@ -171,8 +172,8 @@
   ASSERT_TRUE(done) << text;
   ASSERT_TRUE(fleet.settled()) << fleet.state();
   EXPECT_EQ(fleet.node(0).generation(), 2U);
-  EXPECT_EQ(fleet.node(3).machine().state().calendar().approver_size(), 2);  // what survived is kept
-  fleet.start(4);                                                            // its copy is of generation 1
+  EXPECT_EQ(fleet.node(3).state_machine().state().calendar().approver_size(), 2);  // what survived is kept
+  fleet.start(4);  // its copy is of generation 1
   ASSERT_TRUE(fleet.until(30 * kSec, [&] { return fleet.node(4).generation() == 2; })) << fleet.state();
   EXPECT_TRUE(fleet.settled()) << fleet.state();
 }
@@ -213,15 +214,15 @@
   EXPECT_NE(fleet.leader(), static_cast<int>(full));
   EXPECT_TRUE(fleet.said(full, "the disk did not take"));
   fleet.relays[full].files->capacity = SIZE_MAX;
-  EXPECT_TRUE(fleet.until(60 * kSec, [&] { return fleet.node(full).votes() && fleet.all_keep_map(); }))
+  EXPECT_TRUE(fleet.until(60 * kSec, [&] { return fleet.node(full).is_voting() && fleet.all_keep_map(); }))
       << fleet.state();
 }
 
 TEST(Register, OneByteFlippedInLogSnapshotOrVoteIsNeverVotedOn) {
   for (const std::string kind : {"log-", "snapshot-", "vote-a", "vote-b"}) {
     Fleet fleet(3, 3, 12);
-    fleet.options.raft.snapshot_every = 4;
-    fleet.options.raft.trailing = 2;
+    fleet.options.raft.snapshot_interval = 4;
+    fleet.options.raft.trailing_entries = 2;
     fleet.begin();
     for (int i = 0; i < 8; ++i) fleet.propose_version(0, "v" + std::to_string(i));
     fleet.kill(1);
@@ -302,14 +303,14 @@
   fleet.begin();
   shards::Key key = 0;
   for (const shards::Key candidate : fleet.keys()) {
-    if (fleet.node(4).standing(candidate, fleet.now_of(fleet.relays[4]).steady_us) == Standing::kOwner)
+    if (fleet.node(4).ownership(candidate, fleet.now_of(fleet.relays[4]).steady_us) == Ownership::kOwner)
       key = candidate;
   }
   fleet.stop(4);
   // Its keys have another owner within stated time: found silent, a repair agreed on, its lease waited out.
   EXPECT_TRUE(fleet.until(15 * kSec, [&] { return fleet.unowned().empty(); })) << fleet.state();
   const auto at = fleet.now_of(fleet.relays[4]).steady_us;
-  EXPECT_NE(fleet.node(4).standing(key, at), Standing::kOwner);  // before it has read a single frame
+  EXPECT_NE(fleet.node(4).ownership(key, at), Ownership::kOwner);  // before it has read a single frame
   fleet.go_on(4);
   EXPECT_TRUE(fleet.settled()) << fleet.state();
 }
@@ -331,7 +332,8 @@
   fleet.begin();
   fleet.cut_off(3);
   fleet.relays[3].wall_offset = -600 * kSec;
-  ASSERT_TRUE(fleet.until(30 * kSec, [&] { return fleet.node(0).machine().state().map().epoch() == 2; }));
+  ASSERT_TRUE(
+      fleet.until(30 * kSec, [&] { return fleet.node(0).state_machine().state().map().epoch() == 2; }));
   fleet.run(5 * kSec);  // the oracle looks at each step whether a key has two owners
   fleet.heal();
   EXPECT_TRUE(fleet.settled()) << fleet.state();
@@ -342,7 +344,7 @@
 TEST(Register, TwoOperatorsProposeDifferentMapsForOneEpoch) {
   Fleet fleet(4, 3, 30);
   fleet.begin();
-  const shards::Map one = moved_by_hand(fleet.node(0).machine());
+  const shards::Map one = moved_by_hand(fleet.node(0).state_machine());
   shards::Map other = one;
   other.ranges[0].last -= 5;
   other.ranges[1].first -= 5;
@@ -351,23 +353,24 @@
     pb::Ask ask;
     ask.set_verb(pb::Ask::kProposeMap);
     ask.set_text(shards::to_toml(map));
-    fleet.node(at).ask(ask, fleet.now_of(fleet.relays[at]), [&](bool good, const std::string& why) {
-      done += good;
-      ++answers;
-      EXPECT_EQ(good, why.empty() || why == "done");
-    });
+    fleet.node(at).handle_request(ask, fleet.now_of(fleet.relays[at]),
+                                  [&](bool good, const std::string& why) {
+                                    done += good;
+                                    ++answers;
+                                    EXPECT_EQ(good, why.empty() || why == "done");
+                                  });
   }
   ASSERT_TRUE(fleet.until(20 * kSec, [&] { return answers == 2; }));
   EXPECT_EQ(done, 1);
   ASSERT_TRUE(fleet.settled());
-  const shards::Map now = fleet.node(2).machine().map();
+  const shards::Map now = fleet.node(2).state_machine().map();
   EXPECT_TRUE(now == one || now == other);
 }
 
 TEST(Register, AMapWhoseOwnerDiesBetweenCheckAndCommitIsNotCommitted) {
   Fleet fleet(5, 3, 31);
   fleet.begin();
-  shards::Map next = fleet.node(0).machine().map();
+  shards::Map next = fleet.node(0).state_machine().map();
   ++next.epoch;
   // n5 is to have more; then it dies, and the others keep to what they had.
   const shards::Key cut = next.ranges[3].last - (uint64_t{1} << 60);
@@ -377,28 +380,29 @@
   fleet.stop(4);
   ASSERT_TRUE(fleet.propose_map(0, next).first);
   ASSERT_TRUE(fleet.until(30 * kSec, [&] {
-    const auto& state = fleet.node(0).machine().state();
+    const auto& state = fleet.node(0).state_machine().state();
     return state.proposed().epoch() == 0 && state.map().epoch() >= 2;
   })) << fleet.state();
-  EXPECT_NE(fleet.node(0).machine().map(), next);
-  for (const auto& range : fleet.node(0).machine().map().ranges) EXPECT_NE(range.owner, "n5");
+  EXPECT_NE(fleet.node(0).state_machine().map(), next);
+  for (const auto& range : fleet.node(0).state_machine().map().ranges) EXPECT_NE(range.owner, "n5");
 }
 
 TEST(Register, ALostOwnersKeysAndOnlyThoseMove) {
   Fleet fleet(6, 3, 32);
   fleet.begin();
-  const shards::Map before = fleet.node(0).machine().map();
+  const shards::Map before = fleet.node(0).state_machine().map();
   fleet.kill(5);
-  ASSERT_TRUE(fleet.until(30 * kSec, [&] { return fleet.node(0).machine().state().map().epoch() == 2; }));
-  const shards::Map after = fleet.node(0).machine().map();
+  ASSERT_TRUE(
+      fleet.until(30 * kSec, [&] { return fleet.node(0).state_machine().state().map().epoch() == 2; }));
+  const shards::Map after = fleet.node(0).state_machine().map();
   for (const auto& [owner, share] : shards::shares(before)) {
     EXPECT_NEAR(share, 1.0 / 6, 0.01) << owner;
   }
-  EXPECT_NEAR(shards::moved(before, after), 1.0 / 6, 0.01);
+  EXPECT_NEAR(shards::moved_share(before, after), 1.0 / 6, 0.01);
   for (const shards::Range& range : before.ranges) {
     if (range.owner == "n6") continue;
-    EXPECT_EQ(shards::find(after, range.first)->owner, range.owner);
-    EXPECT_EQ(shards::find(after, range.last)->owner, range.owner);
+    EXPECT_EQ(shards::find_range(after, range.first)->owner, range.owner);
+    EXPECT_EQ(shards::find_range(after, range.last)->owner, range.owner);
   }
 }
 
@@ -407,8 +411,9 @@
 std::string window(const MadeUpFleet& fleet, const std::string& id, int64_t from_s, int64_t to_s,
                    const std::string& more = "") {
   return "approvers = [\"ann\", \"bo\", \"cy\"]\n[[window]]\nid = \"" + id +
-         "\"\nstart = " + freeze::text(fleet.true_wall() + from_s * kSec) +
-         "\nend = " + freeze::text(fleet.true_wall() + to_s * kSec) + "\ndeclared_by = \"trading\"\n" + more;
+         "\"\nstart = " + freeze::format_instant(fleet.true_wall() + from_s * kSec) +
+         "\nend = " + freeze::format_instant(fleet.true_wall() + to_s * kSec) +
+         "\ndeclared_by = \"trading\"\n" + more;
 }
 
 TEST(Freeze, NoChangeInsideAWindowButFactsAndRepairs) {
@@ -416,15 +421,16 @@
   fleet.begin();
   ASSERT_TRUE(fleet.declare(3, window(fleet, "w", 5, 60)).first);
   fleet.run(8 * kSec);
-  const auto [done, why] = fleet.propose_map(0, moved_by_hand(fleet.node(0).machine()));
+  const auto [done, why] = fleet.propose_map(0, moved_by_hand(fleet.node(0).state_machine()));
   EXPECT_FALSE(done);
   EXPECT_NE(why.find("'w'"), why.npos) << why;
   EXPECT_FALSE(fleet.propose_version(4, "new").first);
   EXPECT_FALSE(
       fleet.declare(0, "approvers = [\"ann\", \"bo\", \"cy\"]\n").first);  // to remove it is a change too
   fleet.kill(4);  // a fact: its keys are repaired all the same
-  ASSERT_TRUE(fleet.until(30 * kSec, [&] { return fleet.node(0).machine().state().map().epoch() == 2; }))
-      << fleet.state();
+  ASSERT_TRUE(fleet.until(30 * kSec, [&] {
+    return fleet.node(0).state_machine().state().map().epoch() == 2;
+  })) << fleet.state();
   fleet.run(55 * kSec);
   EXPECT_TRUE(fleet.propose_version(0, "new").first);  // the end is outside
 }
@@ -433,19 +439,19 @@
   Fleet fleet(5, 3, 41);
   fleet.begin();
   ASSERT_TRUE(fleet.declare(0, window(fleet, "w", 4, 60)).first);
-  const shards::Map next = moved_by_hand(fleet.node(0).machine());
+  const shards::Map next = moved_by_hand(fleet.node(0).state_machine());
   fleet.cut_off(4);  // until it is found lost and its lease is over the map is only prepared
   const auto [done, why] = fleet.propose_map(0, next);
   ASSERT_TRUE(done) << why;
   fleet.run(10 * kSec);
-  EXPECT_NE(fleet.node(0).machine().map(), next) << fleet.state();
+  EXPECT_NE(fleet.node(0).state_machine().map(), next) << fleet.state();
 }
 
 TEST(Freeze, AnExceptionTakesTwoNamesHoldsOnceForOneChangeAndExpires) {
   Fleet fleet(5, 3, 42);
   fleet.begin();
   ASSERT_TRUE(fleet.declare(0, window(fleet, "w", -5, 600)).first);
-  const shards::Map next = moved_by_hand(fleet.node(0).machine());
+  const shards::Map next = moved_by_hand(fleet.node(0).state_machine());
   const uint64_t digest = digest_of(next);
   EXPECT_FALSE(fleet.except(0, digest, "eve", 5).first);  // no approver
   ASSERT_TRUE(fleet.except(0, digest, "ann", 5).first);
@@ -457,9 +463,10 @@
   other.ranges[1].first -= 5;
   EXPECT_FALSE(fleet.propose_map(0, other).first);  // for one change
   ASSERT_TRUE(fleet.propose_map(0, next).first);
-  ASSERT_TRUE(fleet.until(20 * kSec, [&] { return fleet.node(0).machine().map() == next; })) << fleet.state();
+  ASSERT_TRUE(fleet.until(20 * kSec, [&] { return fleet.node(0).state_machine().map() == next; }))
+      << fleet.state();
   // Used up: the same bytes would need a new one. (A map's epoch makes it another change anyway.)
-  const shards::Map again = moved_by_hand(fleet.node(0).machine());
+  const shards::Map again = moved_by_hand(fleet.node(0).state_machine());
   EXPECT_FALSE(fleet.propose_map(0, again).first);
   // One that expires in flight.
   ASSERT_TRUE(fleet.except(0, digest_of(again), "ann", 1).first);
@@ -477,7 +484,7 @@
   };
   const auto reached = [&](uint64_t number) {
     return fleet.until(20 * kSec,
-                       [&] { return fleet.node(0).machine().state().version().number() == number; });
+                       [&] { return fleet.node(0).state_machine().state().version().number() == number; });
   };
   approve("one");
   approve("two");
@@ -493,12 +500,12 @@
   fleet.begin();
   ASSERT_TRUE(fleet.propose_version(0, "one").first);
   ASSERT_TRUE(
-      fleet.until(10 * kSec, [&] { return fleet.node(0).machine().state().version().number() == 1; }));
+      fleet.until(10 * kSec, [&] { return fleet.node(0).state_machine().state().version().number() == 1; }));
   ASSERT_TRUE(fleet.declare(0, window(fleet, "w", 25, 120)).first);
   // It hears of everything and takes nothing over: live, and on the old version.
   fleet.follows_versions = false;
   ASSERT_TRUE(fleet.propose_version(0, "two").first);
-  for (size_t i = 0; i < 4; ++i) fleet.node(i).runs_version(2);
+  for (size_t i = 0; i < 4; ++i) fleet.node(i).set_running_version(2);
   fleet.run(26 * kSec);
   for (size_t i = 0; i < 5; ++i) EXPECT_EQ(fleet.node(i).version().text(), "one") << fleet.state();
 }
@@ -512,7 +519,7 @@
   fleet.run(6 * kSec);
   ASSERT_TRUE(fleet.propose_version(0, "two").first);
   ASSERT_TRUE(
-      fleet.until(10 * kSec, [&] { return fleet.node(0).machine().state().version().number() == 2; }));
+      fleet.until(10 * kSec, [&] { return fleet.node(0).state_machine().state().version().number() == 2; }));
   fleet.start(4);
   EXPECT_TRUE(fleet.until(10 * kSec, [&] { return fleet.relays[4].runs == 2; })) << fleet.state();
 }
@@ -554,7 +561,7 @@
   EXPECT_FALSE(done);
   EXPECT_NE(why.find("changes are closed"), why.npos);
   for (const size_t i : {2U, 3U, 4U}) {
-    EXPECT_EQ(fleet.node(i).standing(7, fleet.now_of(fleet.relays[i]).steady_us), Standing::kAlone);
+    EXPECT_EQ(fleet.node(i).ownership(7, fleet.now_of(fleet.relays[i]).steady_us), Ownership::kUncoordinated);
   }
 }
 
@@ -575,8 +582,8 @@
     const size_t voters = dice() % 3 == 0 ? 5 : 3;
     const size_t size = voters + dice() % 4;
     MadeUpFleet fleet(size, voters, seed);
-    fleet.options.raft.snapshot_every = 8;
-    fleet.options.raft.trailing = 4;
+    fleet.options.raft.snapshot_interval = 8;
+    fleet.options.raft.trailing_entries = 4;
     fleet.start_all();
     fleet.run(static_cast<int64_t>(dice() % 12) * kSec);
     const auto any = [&] { return static_cast<size_t>(dice() % size); };
@@ -638,13 +645,14 @@
           }
           break;
         case 13:
-          if (fleet.up(who) && fleet.node(who).machine().state().map().range_size() > 1) {
+          if (fleet.up(who) && fleet.node(who).state_machine().state().map().range_size() > 1) {
             pb::Ask ask;
             ask.set_verb(dice() % 2 == 0 ? pb::Ask::kProposeMap : pb::Ask::kDeclare);
             ask.set_text(ask.verb() == pb::Ask::kProposeMap
-                             ? shards::to_toml(moved_by_hand(fleet.node(who).machine()))
+                             ? shards::to_toml(moved_by_hand(fleet.node(who).state_machine()))
                              : window(fleet, "w" + std::to_string(i), static_cast<int64_t>(dice() % 20), 30));
-            fleet.node(who).ask(ask, fleet.now_of(fleet.relays[who]), [](bool, const std::string&) {});
+            fleet.node(who).handle_request(ask, fleet.now_of(fleet.relays[who]),
+                                           [](bool, const std::string&) {});
           }
           break;
       }
--- a/tests/register/storage_test.cpp
+++ b/tests/register/storage_test.cpp
@@ -65,7 +65,7 @@
         return true;
       };
     };
-    steps = {[](Storage& s, Promised&) { return s.begin(1, Storage::make_identity(2, 1)); },
+    steps = {[](Storage& s, Promised&) { return s.initialize(1, Storage::make_identity(2, 1)); },
              term(1),
              append(1, 1, 1),
              vote(Storage::make_identity(3, 1)),
@@ -88,8 +88,9 @@
 void check(MemoryFiles& files, const Promised& before, const Promised& after, size_t step,
            const std::string& where) {
   Storage found(files, "n2");
-  if (step == 0 && found.found() != Storage::Found::kWhole) return;  // nothing had been promised yet
-  ASSERT_EQ(found.found(), Storage::Found::kWhole) << where << ": " << found.finding();
+  if (step == 0 && found.folder_state() != Storage::FolderState::kIntact)
+    return;  // nothing had been promised yet
+  ASSERT_EQ(found.folder_state(), Storage::FolderState::kIntact) << where << ": " << found.diagnostic();
   const auto same = [&](const Promised& p) {
     return found.term() == p.term && found.voted_for() == p.vote &&
            (found.snapshot() ? found.snapshot()->index : 0) == p.snapshot &&
@@ -98,7 +99,7 @@
   EXPECT_TRUE(same(before) || same(after))
       << where << ": term " << found.term() << ", vote " << found.voted_for() << ", "
       << found.entries().size() << " entries";
-  EXPECT_GE(found.promises(), before.promises) << where;
+  EXPECT_GE(found.durable_writes(), before.promises) << where;
 }
 
 TEST(Storage, AtEveryFailedWriteNothingPromisedIsForgotten) {
@@ -122,7 +123,7 @@
       for (size_t i = 0; i < life.steps.size(); ++i) {
         Promised next = promised;
         if (life.steps[i](storage, next)) {
-          next.promises = storage.promises();
+          next.promises = storage.durable_writes();
           promised = next;
           continue;
         }
@@ -155,7 +156,7 @@
     Promised promised;
     for (size_t i = 0; i < life.steps.size(); ++i) {
       ASSERT_TRUE(life.steps[i](storage, promised));
-      promised.promises = storage.promises();
+      promised.promises = storage.durable_writes();
       MemoryFiles lost(files.after_power_loss(random));
       check(lost, promised, promised, i + 1, "seed " + std::to_string(seed) + ", step " + std::to_string(i));
     }
@@ -177,7 +178,7 @@
       changed[name][at] ^= 4;
       MemoryFiles flipped(changed);
       Storage found(flipped, "n2");
-      if (found.found() == Storage::Found::kDamaged) continue;
+      if (found.folder_state() == Storage::FolderState::kDamaged) continue;
       EXPECT_EQ(found.term(), promised.term) << name << " at " << at;
       EXPECT_EQ(found.voted_for(), promised.vote);
       EXPECT_EQ(std::vector<StoredEntry>(found.entries().begin(), found.entries().end()), promised.entries);
@@ -187,22 +188,22 @@
 
 TEST(Storage, AnotherRelaysFolderAndAnEmptyOneAreToldApart) {
   MemoryFiles files;
-  EXPECT_EQ(Storage(files, "n2").found(), Storage::Found::kNothing);
+  EXPECT_EQ(Storage(files, "n2").folder_state(), Storage::FolderState::kEmpty);
   {
     Storage storage(files, "n2");
-    ASSERT_TRUE(storage.begin(1, Storage::make_identity(2, 1)));
+    ASSERT_TRUE(storage.initialize(1, Storage::make_identity(2, 1)));
   }
-  EXPECT_EQ(Storage(files, "n2").found(), Storage::Found::kWhole);
-  EXPECT_EQ(Storage(files, "n3").found(), Storage::Found::kOthers);
+  EXPECT_EQ(Storage(files, "n2").folder_state(), Storage::FolderState::kIntact);
+  EXPECT_EQ(Storage(files, "n3").folder_state(), Storage::FolderState::kForeign);
 }
 
 TEST(Storage, WhatOthersPromisedIsRememberedOverManyStarts) {
   MemoryFiles files;
   for (uint64_t n = 1; n <= 50; ++n) {
     Storage storage(files, "n2");
-    EXPECT_EQ(storage.remembered(Storage::make_identity(1, 1)), n - 1);
-    ASSERT_TRUE(storage.remember(Storage::make_identity(1, 1), n));
-    ASSERT_TRUE(storage.remember(Storage::make_identity(3, 1 + static_cast<uint32_t>(n)), 7));
+    EXPECT_EQ(storage.peer_durable_writes(Storage::make_identity(1, 1)), n - 1);
+    ASSERT_TRUE(storage.record_peer(Storage::make_identity(1, 1), n));
+    ASSERT_TRUE(storage.record_peer(Storage::make_identity(3, 1 + static_cast<uint32_t>(n)), 7));
   }
   Storage storage(files, "n2");
   EXPECT_EQ(storage.newest_identity(3), Storage::make_identity(3, 51));
--- a/tests/shards/shards_test.cpp
+++ b/tests/shards/shards_test.cpp
@@ -10,20 +10,20 @@
 namespace umberhoist::shards {
 namespace {
 
-bool has(const std::vector<Defect>& defects, const std::string& text) {
+bool has(const std::vector<ValidationError>& defects, const std::string& text) {
   return std::any_of(defects.begin(), defects.end(),
-                     [&](const Defect& d) { return d.what.find(text) != std::string::npos; });
+                     [&](const ValidationError& d) { return d.message.find(text) != std::string::npos; });
 }
 
-std::string all(const std::vector<Defect>& defects) {
+std::string all(const std::vector<ValidationError>& defects) {
   std::string out;
-  for (const auto& d : defects) out += std::to_string(d.line) + ": " + d.what + "\n";
+  for (const auto& d : defects) out += std::to_string(d.line) + ": " + d.message + "\n";
   return out;
 }
 
 Map parsed(const std::string& toml) {
   const auto out = parse_map(toml);
-  if (const auto* defects = std::get_if<std::vector<Defect>>(&out)) ADD_FAILURE() << all(*defects);
+  if (const auto* defects = std::get_if<std::vector<ValidationError>>(&out)) ADD_FAILURE() << all(*defects);
   return std::holds_alternative<Map>(out) ? std::get<Map>(out) : Map();
 }
 
@@ -47,7 +47,7 @@
   map.ranges[1].last = UINT64_MAX - 1;
   const auto defects = validate(map, {});
   ASSERT_EQ(defects.size(), 1U);
-  EXPECT_EQ(defects[0].what, "gap ffffffffffffffff..ffffffffffffffff: no owner");
+  EXPECT_EQ(defects[0].message, "gap ffffffffffffffff..ffffffffffffffff: no owner");
 }
 
 TEST(Map, ARangeThatWrapsOrIsEmptyGivenTwiceOrOutOfOrder) {
@@ -72,7 +72,8 @@
       "\"n2\"\n");
   const auto defects = validate(map, {});
   ASSERT_EQ(defects.size(), 1U);
-  EXPECT_EQ(defects[0].what, "overlap 7ffffffffffffff0..7fffffffffffffff: 'n1' (line 3) and 'n2' (line 7)");
+  EXPECT_EQ(defects[0].message,
+            "overlap 7ffffffffffffff0..7fffffffffffffff: 'n1' (line 3) and 'n2' (line 7)");
   EXPECT_EQ(defects[0].line, 7);
 }
 
@@ -80,7 +81,7 @@
   const auto known = members(2);
   const Map present = two(10);
   Map map{9, "md5", {{5, 20, "n1", 0}, {15, UINT64_MAX - 1, "nobody", 0}}, 0, 0};
-  Against against{&present, &known, {}, Step::kRebalance};
+  ValidationContext against{&present, &known, {}, MapChangeType::kRebalance};
   const auto defects = validate(map, against);
   for (const char* part :
        {"hash is 'md5'", "expected 2", "hash changes", "gap 0000000000000000..0000000000000004",
@@ -92,7 +93,7 @@
 
 TEST(Map, OwnersMustBeKnownLiveOfThisGenerationAndNotLeaving) {
   auto known = members(2);
-  Against against{nullptr, &known, {}, Step::kRebalance};
+  ValidationContext against{nullptr, &known, {}, MapChangeType::kRebalance};
   const Map map = two(UINT64_MAX / 2);
   EXPECT_TRUE(validate(map, against).empty()) << all(validate(map, against));
   known[1].live = false;
@@ -101,20 +102,20 @@
   known[1].leaving = true;
   EXPECT_TRUE(has(validate(map, against), "'n2' is leaving"));
   known[1] = members(2)[1];
-  known[1].of_generation = false;
+  known[1].in_current_generation = false;
   EXPECT_TRUE(has(validate(map, against), "earlier generation"));
 }
 
 TEST(Map, SharesMovesAndZonesAreHeldToTheBounds) {
   const auto known = members(2);
   const Map present = two(UINT64_MAX / 2);
-  Against against{&present, &known, {}, Step::kRebalance};
+  ValidationContext against{&present, &known, {}, MapChangeType::kRebalance};
   EXPECT_TRUE(has(validate(two(UINT64_MAX / 8, 2), against), "of the keys move"));
-  against.bounds.most_moved = 1;
+  against.limits.max_moved_share = 1;
   EXPECT_TRUE(has(validate(two(UINT64_MAX / 8, 2), against), "'n1' has 12.50%"));
-  against.bounds.share_factor = 0;
+  against.limits.share_factor = 0;
   EXPECT_TRUE(validate(two(UINT64_MAX / 8, 2), against).empty());
-  against.bounds.zones_apart = true;
+  against.limits.require_two_zones = true;
   const Map one{2, "xxh64", {{0, UINT64_MAX, "n1", 0}}, 0, 0};
   EXPECT_TRUE(has(validate(one, against), "all owners are in zone 'b'"));
 }
@@ -125,7 +126,7 @@
   const Map present = two(UINT64_MAX / 2);
   Map map = two(UINT64_MAX / 2, 2);
   map.ranges[1].owner = "n3";
-  const Against against{&present, &known, {}, Step::kRepair};
+  const ValidationContext against{&present, &known, {}, MapChangeType::kRepair};
   EXPECT_TRUE(validate(map, against).empty()) << all(validate(map, against));
   map.ranges[0].last -= 1;
   map.ranges[1].first -= 1;
@@ -156,16 +157,16 @@
       empty = empty || range.first > range.last;
       for (Key key = range.first; key <= range.last; ++key) ++owners[key];
     }
-    Against against;
-    against.bounds.last_key = 255;
+    ValidationContext against;
+    against.limits.last_key = 255;
     std::set<Key> wrong, told;
     for (Key key = 0; key < 256; ++key) {
       if (owners[key] != 1) wrong.insert(key);
     }
-    for (const Defect& defect : validate(map, against)) {
-      if (!defect.what.starts_with("gap ") && !defect.what.starts_with("overlap ")) continue;
-      const Key first = std::stoull(defect.what.substr(defect.what.find(' ') + 1, 16), nullptr, 16);
-      const Key last = std::stoull(defect.what.substr(defect.what.find("..") + 2, 16), nullptr, 16);
+    for (const ValidationError& defect : validate(map, against)) {
+      if (!defect.message.starts_with("gap ") && !defect.message.starts_with("overlap ")) continue;
+      const Key first = std::stoull(defect.message.substr(defect.message.find(' ') + 1, 16), nullptr, 16);
+      const Key last = std::stoull(defect.message.substr(defect.message.find("..") + 2, 16), nullptr, 16);
       for (Key key = first; key <= last; ++key) told.insert(key);
     }
     ASSERT_EQ(told, wrong) << "round " << round;
@@ -178,13 +179,13 @@
   for (int round = 0; round < 200; ++round) {
     auto known = members(1 + random() % 40);
     for (Member& member : known) member.weight = 1 + static_cast<double>(random() % 5);
-    const Map map = *first_map(known);
-    EXPECT_TRUE(validate(map, {nullptr, &known, {}, Step::kRebalance}).empty());
+    const Map map = *initial_map(known);
+    EXPECT_TRUE(validate(map, {nullptr, &known, {}, MapChangeType::kRebalance}).empty());
     for (int i = 0; i < 200; ++i) {
       Key key = random();
       if (i < 2) key = i == 0 ? 0 : UINT64_MAX;
       if (i >= 2 && i < 40) key = map.ranges[random() % map.ranges.size()].last + (i % 2);
-      const Range* found = find(map, key);
+      const Range* found = find_range(map, key);
       ASSERT_NE(found, nullptr);
       for (const Range& range : map.ranges)
         EXPECT_EQ(range.first <= key && key <= range.last, &range == found);
@@ -199,14 +200,14 @@
   for (int round = 0; round < 500; ++round) {
     auto known = members(2 + random() % 20);
     for (Member& member : known) member.weight = 1 + static_cast<double>(random() % 4);
-    Map map = *first_map(known);
+    Map map = *initial_map(known);
     for (int step = 0; step < 4; ++step) {
       const size_t lost = random() % known.size();
       known[lost].live = false;
       if (std::none_of(known.begin(), known.end(), [](const Member& m) { return m.live; })) break;
       const auto next = repair(map, known);
       if (!next) continue;
-      const auto defects = validate(*next, {&map, &known, {}, Step::kRepair});
+      const auto defects = validate(*next, {&map, &known, {}, MapChangeType::kRepair});
       ASSERT_TRUE(defects.empty()) << all(defects);
       map = *next;
     }
@@ -217,17 +218,17 @@
   std::mt19937_64 random(10);
   for (int round = 0; round < 300; ++round) {
     auto known = members(2 + random() % 12);
-    Map map = *first_map(known);
+    Map map = *initial_map(known);
     for (size_t i = random() % 5; i > 0; --i) {
       known.push_back(
           {"new" + std::to_string(i), 1 + static_cast<double>(random() % 3), "a", true, false, true});
     }
     if (random() % 2 == 0) known[0].leaving = true;
-    Bounds bounds;
-    bounds.most_moved = 0.1;
+    MapLimits bounds;
+    bounds.max_moved_share = 0.1;
     int steps = 0;
     while (const auto next = rebalance(map, known, bounds)) {
-      const auto defects = validate(*next, {&map, &known, bounds, Step::kRebalance});
+      const auto defects = validate(*next, {&map, &known, bounds, MapChangeType::kRebalance});
       ASSERT_TRUE(defects.empty()) << "round " << round << " step " << steps << "\n" << all(defects);
       map = *next;
       ASSERT_LT(++steps, 60);
@@ -239,18 +240,18 @@
 // ---- The file ----
 
 TEST(MapFile, ComesBackAsItWasWritten) {
-  const Map map = *first_map(members(7), 12);
+  const Map map = *initial_map(members(7), 12);
   EXPECT_EQ(parsed(to_toml(map)), map);
 }
 
 TEST(MapFile, EachWrongLineIsTold) {
   const auto out = parse_map(
       "epoch = 0\nhash = 5\nfoo = 1\n[[range]]\nfirst = \"12\"\nlast = \"000000000000000g\"\nowner = \"\"\n");
-  const auto& defects = std::get<std::vector<Defect>>(out);
+  const auto& defects = std::get<std::vector<ValidationError>>(out);
   std::vector<int> lines;
   for (const auto& defect : defects) lines.push_back(defect.line);
   EXPECT_EQ(lines, (std::vector<int>{1, 2, 3, 5, 6, 7})) << all(defects);
-  EXPECT_TRUE(std::holds_alternative<std::vector<Defect>>(parse_map("epoch = ")));
+  EXPECT_TRUE(std::holds_alternative<std::vector<ValidationError>>(parse_map("epoch = ")));
 }
 
 }  // namespace
