--- a/include/firspool/policy.h
+++ b/include/firspool/policy.h
@@ -1,11 +1,12 @@
-// The interface of firspool: settings, events in, actions out, and the class that decides.
+// Public interface of firspool: settings, input events, output actions, and the class that turns events into
+// actions.
 //
-// Contract of Policy::step: call it once for each batch of events, with a clock that never goes back. All
-// events of the batch are folded into the state first, then decisions are taken once. Actions are appended to
-// the vector, which belongs to the caller. Each message that arrived gets one final answer: an Outcome with
-// `final` set, a Refuse or a Fail. A Policy keeps no thread and no lock: use each object from one thread at a
-// time. Wrong use (time going back, a message id given twice, an unknown class) throws std::invalid_argument
-// and leaves the event unread.
+// Contract of Policy::step: call it once per batch of events, with a clock that never goes back. All events
+// of the batch are applied to the state first; decisions are then taken once. Actions are appended to the
+// vector, which the caller owns. Each message that arrived ends in exactly one of: an AttemptEnded event with
+// `final` set, a Refuse action or a Fail action. A Policy has no thread and no lock: use each object from one
+// thread at a time. Wrong use (time going back, a repeated message id, an unknown class) throws
+// std::invalid_argument; the event that caused it is not applied.
 #pragma once
 
 #include <compare>
@@ -19,85 +20,84 @@
 
 namespace firspool {
 
-using Time = int64_t;  // microseconds; as a point in time its origin is arbitrary
+using Time = int64_t;  // microseconds; the origin of points in time is arbitrary
 
-struct Endpoint {  // one address of a destination; returned as it was given
+// Address of one host of a destination. Opaque to the policy: it is returned as it was given.
+struct Endpoint {
   uint32_t address = 0;
   uint16_t port = 0;
   auto operator<=>(const Endpoint&) const = default;
 };
 
-// ---- Settings: told once, at the start ----
+// ---- Settings: fixed at construction ----
 
-enum class Effect { kSafe, kKeyed, kUnsafe };       // what a second run of a message would do
-enum class KeyScope { kAll, kZone, kDestination };  // which endpoints of a destination drop repeats
+enum class Effect { kSafe, kKeyed, kUnsafe };       // what a second execution of a message would do
+enum class KeyScope { kAll, kZone, kDestination };  // which endpoints discard repeats of the same key
 
 struct ClassSettings {
   std::string name;
   Effect effect = Effect::kUnsafe;
   KeyScope key_scope = KeyScope::kAll;
-  Time key_window =
-      0;  // keyed: how long a destination remembers a key, from the first send that may have run
-  bool in_order = false;  // messages of one key go one at a time
-  Time target = 0;        // delivered within this time, a message earns its full worth
-  Time give_up = 0;       // how long it may be delivered, from when it was first handed in
+  // kKeyed only: how long a destination remembers a key, counted from the first attempt that may have been
+  // executed.
+  Time key_window = 0;
+  bool in_order = false;  // messages with the same key are sent one at a time
+  Time target = 0;        // a message delivered within this time earns its full worth
+  Time give_up = 0;       // lifetime of a message, counted from its first submission
   double worth = 1;
-  double late_worth = 0;  // share of the worth that is left at the end
+  double late_worth = 0;  // share of the worth left at the end of the lifetime
 };
 
 struct KindSettings {
   std::string name;
-  bool independent_endpoints =
-      false;          // the endpoints of a destination are routes apart, each with its own limit and outages
-  int max_batch = 1;  // messages that may travel as one call
+  bool independent_endpoints = false;  // each endpoint of a destination has its own rate limit and outages
+  int max_batch = 1;                   // messages that may be sent as one call
 };
 
 struct TenantSettings {
   std::string name;
-  double quota_per_s = 0;  // rate of all relays together that earns its full worth; 0: no quota
+  double quota_per_s = 0;  // messages a second over all relays that earn their full worth; 0: no quota
 };
 
-enum class Weights {
-  kNone,
-  kNominal,
-  kRough
-};  // what an endpoint's weight holds: the destination's limit, or nothing
+// Meaning of an endpoint's weight in the host list. Any value but kNone: the destination's rate limit in
+// calls a second over all relays.
+enum class Weights { kNone, kNominal, kRough };
 
 struct Settings {
   std::vector<ClassSettings> classes;
   std::vector<KindSettings> kinds;
   std::vector<TenantSettings> tenants;
-  int self = 0;
-  int relays = 1;
-  int zone = 0;
-  int slots = 1;     // calls out at once
-  int max_open = 1;  // messages held at once, sent or not
+  int self = 0;      // index of this relay
+  int relays = 1;    // number of relays in the fleet
+  int zone = 0;      // zone of this relay
+  int slots = 1;     // maximum number of calls in flight
+  int max_open = 1;  // maximum number of messages held, sent or not
   int max_attempts = 1;
   int streams_per_conn = 1;
   bool may_probe = false;
   bool may_notify_peers = false;
   bool may_cancel = false;
-  bool list_requires_watch = false;      // the list comes only to those who watch
-  bool clients_get_retry_after = false;  // clients are told the wait of a Refuse
-  bool exponential_late_worth =
-      false;  // worth falls by half with each further target; else evenly to the end
+  bool list_requires_watch = false;      // the host list is sent only after a WatchList action
+  bool clients_get_retry_after = false;  // Refuse::retry_after is passed on to clients
+  // true: the worth of a late message halves with each further target time; false: it falls linearly until
+  // the message is due.
+  bool exponential_late_worth = false;
   Weights weights = Weights::kNone;
-  int report_remaining_index =
-      -1;                       // index of the share of a limit that is left, in a report; -1: not reported
-  int report_limit_index = -1;  // index of the limit in calls a second; -1: not reported
-  double over_quota_worth = 1;
-  Time tick = 0;
-  Time conn_idle_timeout = 0;
+  int report_remaining_index = -1;  // index, in a load report, of the unused share of the limit; -1: absent
+  int report_limit_index = -1;      // index, in a load report, of the limit in calls a second; -1: absent
+  double over_quota_worth = 1;      // factor on the worth of messages beyond a tenant's quota
+  Time tick = 0;                    // resolution of the clock and the timers
+  Time conn_idle_timeout = 0;       // an idle connection is closed after this time
   Time connect_timeout = 0;
-  Time max_retry_after = 0;
-  Time reply_slack = 0;
-  Time drain_grace = 0;
-  Time list_request_interval = 0;
-  Time in_order_pause = 0;
-  Time slow_start = 0;         // after an outage a destination is warm within this time
-  Time overload_window = 0;    // sent too much for this long while cold, it falls over
-  double overload_factor = 1;  // too much: more than this many times its capacity at that moment
-  double start_capacity = 1;   // share of its capacity that it returns with
+  Time max_retry_after = 0;  // upper bound of Refuse::retry_after; 0: none
+  Time reply_slack = 0;      // how long after its due time a message may get its final answer
+  Time drain_grace = 0;      // calls to a host must stop within this time after it is listed as draining
+  Time list_request_interval = 0;  // bounds the backoff between attempts to open the discovery watch
+  Time in_order_pause = 0;     // pause of an ordered key after a call that timed out, was reset or cancelled
+  Time slow_start = 0;         // after an outage a destination is back at full capacity after this time
+  Time overload_window = 0;    // a destination in slow start that is overloaded for this long fails again
+  double overload_factor = 1;  // overloaded: more than this multiple of its capacity at that moment
+  double start_capacity = 1;   // share of its capacity that a destination has when it recovers
   double price_cross_zone = 0;
   double price_handshake = 0;
   double price_waste = 0;
@@ -105,17 +105,18 @@
   double price_probe = 0;
   double price_refused = 0;
   double price_peer = 0;
-  std::vector<double> zone_fee;  // for each zone: price of a message taken on by a route apart
+  std::vector<double> zone_fee;  // per zone: price of a message accepted by an independent endpoint there
 };
 
-// Reads settings from path=value lines. Unknown keys are skipped; a needed key that is missing or unreadable
-// throws std::invalid_argument naming it.
-Settings parse_settings(std::string_view facts);
+// Reads settings from lines of the form path=value. Unknown keys are ignored; a required key that is missing,
+// or a value that cannot be read, throws std::invalid_argument with the key in its text.
+Settings parse_settings(std::string_view text);
 
 // ---- Events ----
 
 enum class HostState { kReady, kDraining, kRemoved };
 
+// One host in the host list.
 struct Member {
   Endpoint endpoint;
   HostState state = HostState::kReady;
@@ -126,48 +127,48 @@
 };
 
 struct MembersChanged {
-  enum class Form { kDelta, kFull, kFailed };
+  enum class Form { kDelta, kFull, kFailed };  // kFailed: the watch failed, there is no list
   Form form = Form::kFull;
-  std::shared_ptr<const std::vector<Member>> members;  // may be null when the form is kFailed
+  std::shared_ptr<const std::vector<Member>> members;  // may be null if the form is kFailed
 };
 
 struct Arrival {
   uint64_t id = 0;
   int message_class = 0;
-  int tenant = 0;    // index in the settings; -1: none, and no quota
-  uint64_t key = 0;  // for classes in order: what the message is about; 0: nothing
-  Time due = 0;
+  int tenant = 0;    // index in the settings; -1: no tenant, no quota
+  uint64_t key = 0;  // for classes in order: messages with the same key are sent in turn; 0: no key
+  Time due = 0;      // end of the message's lifetime
   int destination = 0;
-  // Of a message that is resumed after a restart: what became of it before. Attempts are counted on.
+  // For a message that is resumed after a restart: its history. Attempts are numbered on from `attempts`.
   int attempts = 0;
-  bool maybe_executed = false;   // an attempt may have run
+  bool maybe_executed = false;   // an earlier attempt may have been executed
   Time maybe_executed_sent = 0;  // when the first such attempt was sent
-  int maybe_executed_zone = 0;
+  int maybe_executed_zone = 0;   // zone of the endpoint that it was sent to
 };
 
 enum class Outcome {
   kOk,
   kError,
-  kRefused,
+  kRefused,  // the host refused the call without executing it
   kTimeout,
   kConnectFailed,
   kReset,
   kCancelled,
-  kNotStarted,
-  kMalformed  // an answer that cannot be read: it may have run, and the host is well
+  kNotStarted,  // the call was no longer allowed to start; nothing was sent
+  kMalformed    // unreadable answer: the call may have been executed; says nothing about the host's health
 };
 
 struct AttemptEnded {
   uint64_t id = 0;
-  int attempt = 0;  // counted from 0 in the order of the message's Sends
+  int attempt = 0;  // counted from 0, in the order of the message's Send actions
   Endpoint endpoint;
   Outcome outcome = Outcome::kError;
   bool final = false;  // the message is finished
   Time duration = 0;
-  Time retry_after = 0;  // with kRefused or kMalformed: the wait that was told, 0 if none
+  Time retry_after = 0;  // with kRefused or kMalformed: the wait that the host asked for; 0: none
   bool connection_limit_reached =
-      false;  // with kRefused: the host ended the new connection on which it turned the call away
-  std::vector<float> report;
+      false;                  // with kRefused: the host closed the new connection with its refusal
+  std::vector<float> report;  // load report of the host; empty: none
 };
 
 struct ProbeEnded {
@@ -177,6 +178,7 @@
   std::vector<float> report;
 };
 
+// The client no longer wants the message.
 struct Withdrawn {
   uint64_t id = 0;
 };
@@ -190,34 +192,36 @@
   std::string bytes;
 };
 
-// What a fresh module would not know of a destination: it is told by SaveDestinationState, and given back
-// after a restart by the caller, before any message is. Outages of routes apart are not told.
+// What has to be known about a destination across a restart: emitted by SaveDestinationState and given back
+// by the caller after a restart, before the first Arrival. Outages of independent endpoints are not saved.
 struct DestinationState {
   int destination = 0;
-  int retry_tokens = 0;      // of the retry bucket, in its parts
+  int retry_tokens = 0;      // of the retry bucket, in tenths of a token
   Time outage_start = 0;     // 0: no outage
-  Time recovery_start = 0;   // 0: still out
-  double baseline_rate = 0;  // own served rate before it
-  double pacing_rate = 0;    // own calls a second at most, in steps; 0: it was never refused
+  Time recovery_start = 0;   // 0: not yet recovering
+  double baseline_rate = 0;  // calls a second of this relay that were served before the outage
+  double pacing_rate = 0;    // upper bound on this relay's calls a second, rounded down; 0: never refused
   bool operator==(const DestinationState&) const = default;
 };
 
-// Who finds out when an outage of a destination ends. Of routes apart each relay does so itself.
+// Which relay sends the trial calls that find out whether an outage of a destination is over. Does not apply
+// to independent endpoints: there each relay sends its own.
 struct TrialAssignment {
-  enum class Duty { kShared, kSelf, kOther };  // each relay its even part; this one for all; another one
+  enum class Duty { kShared, kSelf, kOther };  // each relay its even share; this relay for all; another relay
   int destination = 0;
   Duty duty = Duty::kShared;
 };
 
-// What another relay saw of a destination; of no weight against what this one saw itself.
+// What another relay observed of a destination. This relay's own observations take precedence.
 struct PeerHealthReport {
   int destination = 0;
   Time outage_start = 0;
-  Time recovery_start = 0;   // 0: still out
-  double baseline_rate = 0;  // served a second before, as that relay knew
+  Time recovery_start = 0;   // 0: not yet recovering
+  double baseline_rate = 0;  // calls a second that were served before, as that relay estimated
 };
 
-struct ShutdownScheduled {  // this process ends soon: a call that may not be over by then is not started
+// This process stops at a known time: calls that may not be over by then are not started.
+struct ShutdownScheduled {
   Time at = 0;
 };
 
@@ -227,19 +231,22 @@
 
 // ---- Actions ----
 
-struct Send {  // answered by one AttemptEnded, kTimeout at the latest after `timeout`
+// Start an attempt. Answered by exactly one AttemptEnded; kTimeout after `timeout` at the latest.
+struct Send {
   uint64_t id = 0;
   Endpoint endpoint;
   Time timeout = 0;
-  Time start_by = std::numeric_limits<Time>::max();  // no byte of it may be written later
+  Time start_by = std::numeric_limits<Time>::max();  // no byte of the call may be written later than this
 };
 
-struct Refuse {  // ends the message; a retry by the client is harmless
+// Ends the message. The client may safely submit it again.
+struct Refuse {
   uint64_t id = 0;
   Time retry_after = 0;
 };
 
-struct Fail {  // ends the message; nothing is promised
+// Ends the message. It may or may not have been executed.
+struct Fail {
   uint64_t id = 0;
 };
 
@@ -248,7 +255,8 @@
   int attempt = 0;
 };
 
-struct Probe {  // answered by one ProbeEnded
+// Send a health check. Answered by exactly one ProbeEnded.
+struct Probe {
   Endpoint endpoint;
 };
 
@@ -261,6 +269,7 @@
   Time at = 0;
 };
 
+// Open the discovery watch. Answered by MembersChanged events.
 struct WatchList {};
 
 struct NotifyPeers {
@@ -271,7 +280,8 @@
   std::string text;
 };
 
-struct SaveDestinationState {  // the newest word on a destination
+// Replaces the saved state of the destination.
+struct SaveDestinationState {
   DestinationState state;
 };
 
@@ -280,6 +290,7 @@
 
 class Policy {
  public:
+  // `seed` determines all random choices: the same seed and events give the same actions.
   Policy(Settings settings, uint64_t seed);
   ~Policy();
   Policy(Policy&&) noexcept;
