--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -12,11 +12,11 @@
 namespace firspool {
 namespace {
 
-constexpr int kMostEntries = 100000;  // a list longer than this is a mistake in the text
+constexpr int kMaxEntries = 100000;  // a list longer than this is a mistake in the text
 
-class Facts {
+class KeyValues {
  public:
-  explicit Facts(std::string_view text) {
+  explicit KeyValues(std::string_view text) {
     while (!text.empty()) {
       const size_t end = text.find('\n');
       std::string_view line = text.substr(0, end);
@@ -42,23 +42,23 @@
     return parse(key, text(key));
   }
 
-  int integer(const std::string& key, int least, std::optional<int> fallback = {}) const {
+  int integer(const std::string& key, int min, std::optional<int> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
     const double value = number(key);
-    if (value != std::floor(value) || value < least || value > 1e9) unreadable(key);
+    if (value != std::floor(value) || value < min || value > 1e9) throw_unreadable(key);
     return static_cast<int>(value);
   }
 
-  double within(const std::string& key, double least, double most, double fallback) const {
+  double number_within(const std::string& key, double min, double max, double fallback) const {
     const double value = number(key, fallback);
-    if (value < least || value > most) unreadable(key);
+    if (value < min || value > max) throw_unreadable(key);
     return value;
   }
 
   Time time(const std::string& key, std::optional<Time> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
     const double value = number(key);
-    if (value < 0 || value > 1e9) unreadable(key);
+    if (value < 0 || value > 1e9) throw_unreadable(key);
     return std::llround(value * 1e6);
   }
 
@@ -85,11 +85,11 @@
   }
 
   static bool parse_flag(const std::string& key, const std::string& value) {
-    if (value != "true" && value != "false") unreadable(key);
+    if (value != "true" && value != "false") throw_unreadable(key);
     return value == "true";
   }
 
-  [[noreturn]] static void unreadable(const std::string& key) {
+  [[noreturn]] static void throw_unreadable(const std::string& key) {
     throw std::invalid_argument("setting " + key + " is unreadable");
   }
 
@@ -97,127 +97,130 @@
   static double parse(const std::string& key, const std::string& value) {
     double out = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), out);
-    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(out)) unreadable(key);
+    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(out))
+      throw_unreadable(key);
     return out;
   }
 
   std::map<std::string, std::string> values_;
 };
 
-ClassSettings parse_class(const Facts& facts, const std::string& at) {
+ClassSettings parse_class(const KeyValues& values, const std::string& prefix) {
   ClassSettings out;
-  out.name = facts.text(at + "name", "");
-  const std::string effect = facts.text(at + "semantics");
+  out.name = values.text(prefix + "name", "");
+  const std::string effect = values.text(prefix + "semantics");
   if (effect == "safe") {
     out.effect = Effect::kSafe;
   } else if (effect == "keyed") {
     out.effect = Effect::kKeyed;
-    const std::string scope = facts.text(at + "key_scope");
-    if (scope != "all" && scope != "zone" && scope != "cell") Facts::unreadable(at + "key_scope");
+    const std::string scope = values.text(prefix + "key_scope");
+    if (scope != "all" && scope != "zone" && scope != "cell")
+      KeyValues::throw_unreadable(prefix + "key_scope");
     out.key_scope = scope == "all"    ? KeyScope::kAll
                     : scope == "zone" ? KeyScope::kZone
                                       : KeyScope::kDestination;
-    out.key_window = facts.time(at + "key_ttl_s");
+    out.key_window = values.time(prefix + "key_ttl_s");
   } else if (effect != "unsafe") {
-    Facts::unreadable(at + "semantics");
+    KeyValues::throw_unreadable(prefix + "semantics");
   }
-  out.in_order = facts.flag(at + "in_order", false);
-  out.target = facts.time(at + "target_s");
-  out.give_up = facts.time(at + "give_up_s");
-  out.worth = facts.number(at + "worth", 1.0);
-  out.late_worth = facts.number(at + "late_worth", 0.0);
+  out.in_order = values.flag(prefix + "in_order", false);
+  out.target = values.time(prefix + "target_s");
+  out.give_up = values.time(prefix + "give_up_s");
+  out.worth = values.number(prefix + "worth", 1.0);
+  out.late_worth = values.number(prefix + "late_worth", 0.0);
   return out;
 }
 
-void parse_kinds(const Facts& facts, Settings& out) {
-  const auto apart = facts.list("family_info.kind_apart");
-  const auto batch = facts.numbers("family_info.kind_batch");
-  for (const std::string& name : facts.list("kinds")) {
+void parse_kinds(const KeyValues& values, Settings& out) {
+  const auto apart = values.list("family_info.kind_apart");
+  const auto batch = values.numbers("family_info.kind_batch");
+  for (const std::string& name : values.list("kinds")) {
     KindSettings kind;
     kind.name = name;
     const size_t index = out.kinds.size();
     if (index < apart.size())
-      kind.independent_endpoints = Facts::parse_flag("family_info.kind_apart", apart[index]);
+      kind.independent_endpoints = KeyValues::parse_flag("family_info.kind_apart", apart[index]);
     if (index < batch.size()) {
-      if (batch[index] < 1 || batch[index] > kMostEntries) Facts::unreadable("family_info.kind_batch");
+      if (batch[index] < 1 || batch[index] > kMaxEntries)
+        KeyValues::throw_unreadable("family_info.kind_batch");
       kind.max_batch = static_cast<int>(batch[index]);
     }
     out.kinds.push_back(kind);
   }
 }
 
-void parse_tenants(const Facts& facts, Settings& out) {
-  const int count = facts.integer("realms.count", 0, 0);
-  if (count > kMostEntries) Facts::unreadable("realms.count");
+void parse_tenants(const KeyValues& values, Settings& out) {
+  const int count = values.integer("realms.count", 0, 0);
+  if (count > kMaxEntries) KeyValues::throw_unreadable("realms.count");
   for (int i = 0; i < count; ++i) {
     const std::string at = "realms." + std::to_string(i) + ".";
-    out.tenants.push_back({facts.text(at + "name", ""), facts.number(at + "quota_per_s", 0.0)});
+    out.tenants.push_back({values.text(at + "name", ""), values.number(at + "quota_per_s", 0.0)});
   }
 }
 
-void parse_report(const Facts& facts, Settings& out) {
-  const auto fields = facts.list("telemetry.fields");
+void parse_report(const KeyValues& values, Settings& out) {
+  const auto fields = values.list("telemetry.fields");
   for (size_t i = 0; i < fields.size(); ++i) {
     if (fields[i] == "x0") out.report_remaining_index = static_cast<int>(i);
     if (fields[i] == "x1") out.report_limit_index = static_cast<int>(i);
   }
 }
 
-void parse_prices(const Facts& facts, Settings& out) {
-  out.price_cross_zone = facts.number("prices.cross_zone", 0.0);
-  out.price_handshake = facts.number("prices.handshake", 0.0);
-  out.price_waste = facts.number("prices.waste", 0.0);
-  out.price_late_fail = facts.number("prices.late_fail", 0.0);
-  out.price_probe = facts.number("prices.probe", 0.0);
-  out.price_peer = facts.number("prices.peer", 0.0);
-  out.price_refused = facts.number("family_info.refused_price", 0.0);
-  out.zone_fee = facts.numbers("family_info.zone_fee");
+void parse_prices(const KeyValues& values, Settings& out) {
+  out.price_cross_zone = values.number("prices.cross_zone", 0.0);
+  out.price_handshake = values.number("prices.handshake", 0.0);
+  out.price_waste = values.number("prices.waste", 0.0);
+  out.price_late_fail = values.number("prices.late_fail", 0.0);
+  out.price_probe = values.number("prices.probe", 0.0);
+  out.price_peer = values.number("prices.peer", 0.0);
+  out.price_refused = values.number("family_info.refused_price", 0.0);
+  out.zone_fee = values.numbers("family_info.zone_fee");
 }
 
 }  // namespace
 
 Settings parse_settings(std::string_view text) {
-  const Facts facts(text);
+  const KeyValues values(text);
   Settings out;
-  const int classes = facts.integer("categories.count", 1);
-  if (classes > kMostEntries) Facts::unreadable("categories.count");
+  const int classes = values.integer("categories.count", 1);
+  if (classes > kMaxEntries) KeyValues::throw_unreadable("categories.count");
   for (int i = 0; i < classes; ++i) {
-    out.classes.push_back(parse_class(facts, "categories." + std::to_string(i) + "."));
-  }
-  parse_kinds(facts, out);
-  parse_tenants(facts, out);
-  parse_report(facts, out);
-  parse_prices(facts, out);
-  out.self = facts.integer("me", 0, 0);
-  out.relays = facts.integer("siblings", 1, 1);
-  out.zone = facts.integer("zone", 0, 0);
-  out.slots = facts.integer("family_info.calls_out", 1);
-  out.max_open = facts.integer("bounds.open_cap", 1);
-  out.max_attempts = facts.integer("bounds.max_attempts", 1);
-  out.streams_per_conn = facts.integer("bounds.streams_per_conn", 1, 1);
-  out.may_probe = facts.flag("bounds.may_probe", false);
-  out.may_notify_peers = facts.flag("bounds.peers", false);
-  out.may_cancel = facts.flag("bounds.cancel", false);
-  out.list_requires_watch = facts.text("discovery", "push") == "ask";
-  out.clients_get_retry_after = facts.flag("bounds.retry_after", false);
-  out.exponential_late_worth = facts.text("family_info.late", "line") == "halves";
-  const std::string weights = facts.text("weights", "silent");
+    out.classes.push_back(parse_class(values, "categories." + std::to_string(i) + "."));
+  }
+  parse_kinds(values, out);
+  parse_tenants(values, out);
+  parse_report(values, out);
+  parse_prices(values, out);
+  out.self = values.integer("me", 0, 0);
+  out.relays = values.integer("siblings", 1, 1);
+  out.zone = values.integer("zone", 0, 0);
+  out.slots = values.integer("family_info.calls_out", 1);
+  out.max_open = values.integer("bounds.open_cap", 1);
+  out.max_attempts = values.integer("bounds.max_attempts", 1);
+  out.streams_per_conn = values.integer("bounds.streams_per_conn", 1, 1);
+  out.may_probe = values.flag("bounds.may_probe", false);
+  out.may_notify_peers = values.flag("bounds.peers", false);
+  out.may_cancel = values.flag("bounds.cancel", false);
+  out.list_requires_watch = values.text("discovery", "push") == "ask";
+  out.clients_get_retry_after = values.flag("bounds.retry_after", false);
+  out.exponential_late_worth = values.text("family_info.late", "line") == "halves";
+  const std::string weights = values.text("weights", "silent");
   out.weights = weights == "nominal" ? Weights::kNominal
                 : weights == "rough" ? Weights::kRough
                                      : Weights::kNone;
-  out.over_quota_worth = facts.within("over_share_worth", 0, 1, 1.0);
-  out.tick = facts.time("resolution_s", 0);
-  out.conn_idle_timeout = facts.time("bounds.conn_idle_s", 0);
-  out.connect_timeout = facts.time("bounds.connect_timeout_s", 0);
-  out.max_retry_after = facts.time("bounds.max_retry_after_s", 0);
-  out.reply_slack = facts.time("obligations.answer_slack_s", 0);
-  out.drain_grace = facts.time("obligations.stop_sending_within_s", 0);
-  out.list_request_interval = facts.time("obligations.ask_every_s", 0);
-  out.in_order_pause = facts.time("obligations.order_pause_s", 0);
-  out.slow_start = facts.time("obligations.cold_s", 0);
-  out.overload_window = facts.time("obligations.fall_s", 0);
-  out.overload_factor = facts.within("obligations.fall_multiple", 0, 1e6, 1.0);
-  out.start_capacity = facts.within("obligations.start_capacity", 0, 1, 1.0);
+  out.over_quota_worth = values.number_within("over_share_worth", 0, 1, 1.0);
+  out.tick = values.time("resolution_s", 0);
+  out.conn_idle_timeout = values.time("bounds.conn_idle_s", 0);
+  out.connect_timeout = values.time("bounds.connect_timeout_s", 0);
+  out.max_retry_after = values.time("bounds.max_retry_after_s", 0);
+  out.reply_slack = values.time("obligations.answer_slack_s", 0);
+  out.drain_grace = values.time("obligations.stop_sending_within_s", 0);
+  out.list_request_interval = values.time("obligations.ask_every_s", 0);
+  out.in_order_pause = values.time("obligations.order_pause_s", 0);
+  out.slow_start = values.time("obligations.cold_s", 0);
+  out.overload_window = values.time("obligations.fall_s", 0);
+  out.overload_factor = values.number_within("obligations.fall_multiple", 0, 1e6, 1.0);
+  out.start_capacity = values.number_within("obligations.start_capacity", 0, 1, 1.0);
   return out;
 }
 
