--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,4 +1,5 @@
-// Every decision of firspool. Types, events, actions and the contract: include/firspool/policy.h.
+// Implementation of Policy: all decisions of firspool. The interface and its contract are in
+// include/firspool/policy.h.
 #include "firspool/policy.h"
 
 #include <algorithm>
@@ -42,7 +43,7 @@
   }
 
  private:
-  // ---- Health ----
+  // ---- Events and health ----
 
   void handle(const MembersChanged& e) {
     if (e.form == MembersChanged::Form::kFailed) {
@@ -81,12 +82,14 @@
       if (settings_.weights != Weights::kNone && member.weight > 0 && host.ready)
         host.route->rate_limit = member.weight;
     }
-    for (const Endpoint& endpoint : removed_hosts_) {  // also what a whole list no longer names
+    // This includes hosts that a full list no longer contains.
+    for (const Endpoint& endpoint : removed_hosts_) {
       if (const Host& host = hosts_.at(endpoint); host.removed) discount_endpoint(*host.route, endpoint);
     }
   }
 
-  // What is gone and has nothing out is of no use any more. Guards against growth: ids are ever new.
+  // Erases removed hosts that have no call or probe in flight. Without this, memory would grow: replaced
+  // hosts come back under new endpoints.
   void erase_removed_hosts() {
     std::erase_if(removed_hosts_, [this](const Endpoint& endpoint) {
       Host& host = hosts_.at(endpoint);
@@ -121,8 +124,9 @@
     if (c.in_order && e.key != 0) ordered_queues_[e.key].push_back(e.id);
   }
 
-  // What a tenant sends beyond its quota is worth little; this relay's part of it is taken as an even one. It
-  // counts when it was handed in: what a restart gives back in one moment did not come in one.
+  // Factor on the worth of a message: messages beyond the tenant's quota earn less. This relay's part of the
+  // quota is taken to be an even one. The message counts at the time of its first submission: messages
+  // resumed after a restart arrive all at once, but were not submitted at once.
   double tenant_worth_factor(int tenant, Time submitted) {
     if (tenant < 0 || tenant >= static_cast<int>(settings_.tenants.size())) return 1;
     const double quota = settings_.tenants[tenant].quota_per_s / settings_.relays;
@@ -136,7 +140,8 @@
     return 1;
   }
 
-  // Nothing is owed for it any more, but while its call is out it keeps its turn.
+  // The message needs no final answer any more. While its call is in flight it keeps its place in the order
+  // of its key.
   void handle(const Withdrawn& e) {
     const auto it = messages_.find(e.id);
     if (it == messages_.end()) return;
@@ -155,9 +160,9 @@
     const RouteKey key = {e.destination, Endpoint{}};
     Route& route = routes_[key];
     route.key = key;
-    // Without it all that was held for the pace would go in the first moment of a restart. No less than the
-    // even part of the told limit: the refusals may be over, and a rare caller would hear of that only much
-    // later.
+    // Without the saved rate, all messages that were waiting for it would be sent in the first moment after a
+    // restart. The rate is at least this relay's even share of the listed limit: the refusals may be over,
+    // and a relay that rarely calls would notice only much later.
     if (e.pacing_rate > 0) {
       route.pacing_rate = route.restored_pacing_rate = route.pacing_rate_before_streak =
           std::max(e.pacing_rate, route.rate_limit / settings_.relays);
@@ -177,8 +182,9 @@
     it->second.trial_duty = e.duty;
     it->second.outage_is_shared = it->second.outage_is_shared || e.duty != TrialAssignment::Duty::kShared;
   }
-  // Another relay's scout was served after this outage began: it is over here too. And an outage is taken
-  // over by a relay that was served nothing since: it would have to find out at the destination's cost.
+  // If a trial call of another relay was served after this outage began, the outage is over here too. A relay
+  // that was served nothing since the reported outage began takes the outage over: detecting it itself would
+  // cost the destination further calls.
   void handle(const PeerHealthReport& e) {
     const auto it = routes_.find({e.destination, Endpoint{}});
     if (it == routes_.end() || e.outage_start == 0) return;
@@ -249,7 +255,7 @@
     apply_report(e, route);
     if (route.unserved_streak == 0) route.pacing_rate_before_streak = route.pacing_rate;
     update_idle_loss(e, attempt, kinds_[destination.kind], route);
-    // Slow or lost: whether calls past the suspicious age are served after all.
+    // Learns whether overdue calls are served in the end (slow) or not (lost).
     if (e.outcome == Outcome::kOk || e.outcome == Outcome::kTimeout) {
       const bool overdue = e.duration > latency_of(destination).overdue_age();
       if (overdue)
@@ -266,7 +272,8 @@
         if (destination.typical_latency.samples == 0 ||
             e.duration < micros(4 * destination.typical_latency.mean))
           destination.typical_latency.add(seconds(e.duration));
-        // It took no connection and serves all the same: its table was full. One that is down serves nothing.
+        // The host took no connection but serves calls: its connection table was full. A host that is down
+        // serves nothing.
         if (host.first_connect_failure != 0 && attempt.sent < host.first_connect_failure + kTableFullSpan) {
           kinds_[destination.kind].connect_failure_share +=
               kSampleWeight * (1 - kinds_[destination.kind].connect_failure_share);
@@ -278,15 +285,16 @@
       case Outcome::kRefused:
         apply_retry_after(e, route);
         if (e.connection_limit_reached) return on_connection_limit(destination.kind);
-        if (!host.ready) return;  // it may turn away whatever comes
+        // A host that is draining or removed may refuse any call.
+        if (!host.ready) return;
         reduce_pacing_rate(attempt, route);
         return on_unserved(attempt, route, false, e.retry_after > 0);
       case Outcome::kError:
       case Outcome::kReset:
       case Outcome::kTimeout:
       case Outcome::kConnectFailed:
-        // Lost answers are no sign of slowness: a time-out teaches only where overdue calls are served after
-        // all.
+        // Lost answers are no sign of slowness: a timeout counts as a latency sample only if overdue calls
+        // tend to be served in the end.
         if (e.outcome == Outcome::kTimeout && late_success_share_ > kMinLateSuccessShare &&
             route.last_served_sent < attempt.sent) {
           add_latency(destination, e.duration);
@@ -295,7 +303,8 @@
           host.first_connect_failure = now_;
         if (e.outcome != Outcome::kError) avoid_host(host);
         return on_unserved(attempt, route, true, false);
-      case Outcome::kMalformed:  // spoilt answers come from any host alike: no sign of its health
+      // Any host may send malformed answers: they say nothing about its health.
+      case Outcome::kMalformed:
         return apply_retry_after(e, route);
       case Outcome::kCancelled:
       case Outcome::kNotStarted:
@@ -303,7 +312,7 @@
     }
   }
 
-  // At the end of a wait all relays that were told come back: the random pause keeps them out of step.
+  // All relays that were asked to wait resume at the end of that wait: the random pause spreads their calls.
   void apply_retry_after(const AttemptEnded& e, Route& route) {
     if (e.retry_after <= 0) return;
     route.retry_after_until = std::max(route.retry_after_until, now_ + e.retry_after + settings_.tick +
@@ -316,7 +325,8 @@
     return std::isfinite(value) && value >= 0 ? std::optional<double>(value) : std::nullopt;
   }
 
-  // A limit nearly used up makes its route dearer, so that routes with limits of their own are used evenly.
+  // Host selection costs more on a route whose limit is nearly used up, so that routes with limits of their
+  // own are used evenly.
   void apply_report(const AttemptEnded& e, Route& route) {
     const double limit = report_value(e.report, settings_.report_limit_index).value_or(0);
     if (limit > 0) route.rate_limit = limit;
@@ -340,7 +350,7 @@
     return destination.latency.samples > 0 ? destination.latency : kinds_[destination.kind].latency;
   }
 
-  // The age up to which an idle connection is used.
+  // The idle age up to which a connection is reused.
   Time max_idle_age() const {
     const double grown =
         seconds(max_idle_age_) * std::exp2(seconds(now_ - max_idle_age_set_at_) / seconds(kIdleAgeDoubling));
@@ -352,10 +362,11 @@
     host.connections = 0;
   }
 
-  // Idle connections can be dropped unseen: the age at which they are still used shrinks when calls on them
-  // are lost more often than on fresh ones. Where it errs it costs handshakes. A call lost on one tells of
-  // the connection only once the destination has served a fresh one sent since, as fast as it does: in a hang
-  // or a slow spell all calls are lost, most of them on idle connections because most calls go on these.
+  // Idle connections can be dropped without notice: the idle age up to which they are reused shrinks if calls
+  // on them are lost more often than on new ones. A wrong reduction costs handshakes. A call lost on an idle
+  // connection is attributed to the connection only once the destination has served a call sent later on a
+  // new one, at its usual speed: in a hang or a slow spell all calls are lost, and most of those are on idle
+  // connections because most calls are.
   void update_idle_loss(const AttemptEnded& e, const Attempt& attempt, KindState& kind, Route& route) {
     if (e.outcome == Outcome::kOk) kind.connect_failure_share *= 1 - kTableFullShare / 2;
     const bool broken = e.outcome == Outcome::kReset || e.outcome == Outcome::kTimeout;
@@ -371,7 +382,8 @@
       std::erase_if(route.suspect_calls,
                     [&](const SuspectCall& suspect) { return suspect.sent <= attempt.sent; });
     } else if (e.outcome == Outcome::kConnectFailed) {
-      route.suspect_calls.clear();  // it was the destination
+      // The destination was down, not the connections.
+      route.suspect_calls.clear();
     }
   }
 
@@ -385,9 +397,9 @@
     }
   }
 
-  // A host of this kind holds all the connections that it takes: no limit on calls and no sign of an outage.
-  // Guards against large fleets, where each relay seldom calls a host and one idle connection of each fills
-  // any table: all that are idle at the kind's hosts go, and for a while none is kept there.
+  // A host of this kind has reached its connection limit. This is no rate limit and no sign of an outage. In
+  // large fleets each relay rarely calls a host, and one idle connection per relay fills any connection
+  // table: closes all idle connections to hosts of this kind and keeps none there for a while.
   void on_connection_limit(int kind) {
     const bool already_scarce = connections_scarce(kinds_[kind]);
     kinds_[kind].connections_scarce_until = now_ + kIdleAgeDoubling;
@@ -421,7 +433,8 @@
     if (route.rate_limit > 0) route.pacing_rate = std::min(route.pacing_rate, route.rate_limit);
     route.pacing_limited = false;
     if (route.outage_start == 0) return;
-    if (route.suspected && attempt.sent <= route.outage_start) {  // the overdue calls were only slow
+    // The overdue calls were slow, not lost.
+    if (route.suspected && attempt.sent <= route.outage_start) {
       log(route, "only slow");
       route.outage_start = 0;
     } else if (route.recovery_start == 0 && attempt.sent > route.outage_start) {
@@ -433,8 +446,8 @@
 
   void on_unserved(const Attempt& attempt, Route& route, bool failed, bool wait_requested) {
     monitor(route);
-    // A call sent later was served: this one was lost, or its endpoint is bad, but the destination is up. And
-    // of a host that is leaving nothing else was to be expected.
+    // If a call sent later was served, this call was lost or its endpoint is bad, but the destination is up.
+    // Failures are expected of a host that is being removed.
     if (attempt.sent < route.last_served_sent || !hosts_[attempt.endpoint].ready) return;
     if (route.unserved_streak++ == 0) route.streak_start = attempt.sent;
     route.streak_endpoints.insert(attempt.endpoint);
@@ -442,27 +455,30 @@
       ++route.failures_in_streak;
       route.suspected = false;
     }
-    // Failures after the return start the ramp again; answers to calls from before it tell nothing new.
+    // Failures during the recovery start the slow start again. Outcomes of calls from before it add no
+    // information.
     if (route.recovery_start != 0 && failed && route.unserved_streak >= kRelapseStreak &&
         attempt.sent > route.recovery_start) {
       route.recovery_start = 0;
       log(route, "fails again");
     }
-    // A wait longer than a limit's span tells when a shut destination opens: its return begins there.
+    // A wait longer than the span of a rate limit says when the destination accepts calls again: its recovery
+    // starts then.
     if (wait_requested && route.outage_start == 0 &&
         route.retry_after_until - route.streak_start > kMinRefusalSpan) {
-      open_circuit(route, "told to wait long", false);
+      open_circuit(route, "a host asked for a long wait", false);
       route.recovery_start = route.outage_bucket.at = route.retry_after_until;
     }
   }
 
-  // A host that was on its way out turned calls away and failed them before the list said so. What was seen
-  // there alone tells nothing of its destination: no outage, and no limit.
+  // A host that is being removed refuses and fails calls before the list says so. If all unserved calls of
+  // the streak went to such hosts, they are no evidence of an outage or a limit of the route: takes both
+  // back.
   void discount_endpoint(Route& route, const Endpoint& endpoint) {
     if (route.streak_endpoints.erase(endpoint) == 0 || !route.streak_endpoints.empty() ||
         route.recovery_start != 0)
       return;
-    if (route.outage_start != 0) log(route, "its host was leaving");
+    if (route.outage_start != 0) log(route, "up, only a host that is being removed failed");
     route.unserved_streak = route.failures_in_streak = 0;
     route.outage_start = 0;
     route.suspected = false;
@@ -486,7 +502,8 @@
                    "; served before: " + std::to_string(std::lround(60 * route.baseline_rate)) + " a minute");
   }
 
-  // A hang gives no outcomes: calls past the suspicious age, with nothing served since, are evidence too.
+  // A hang produces no outcomes: overdue calls, with nothing served since they were sent, are evidence of an
+  // outage too.
   void detect_outages() {
     std::map<Route*, int> overdue;
     for (const auto& [id, attempt] : attempts_) {
@@ -529,7 +546,7 @@
     }
   }
 
-  // ---- Guards ----
+  // ---- Rate guards ----
 
   Route& route_of(const Member& member) {
     const bool independent = member.kind < static_cast<int>(settings_.kinds.size()) &&
@@ -542,7 +559,8 @@
 
   void monitor(Route& route) { monitored_routes_[route.key] = &route; }
 
-  // Own served rate; for a rare caller mostly the even part of the limit, which is worth one call as a prior.
+  // This relay's rate of served calls. For a relay that rarely calls it is mostly the even share of the
+  // limit, which has the weight of one call as a prior.
   double estimated_rate(const Route& route) const {
     const double even_share = std::max(route.rate_limit, kMinBaselineRate) / settings_.relays;
     const double time_constant = seconds(kRateTimeConstant);
@@ -552,14 +570,15 @@
                     (route.served_rate.per_second(now_) * time_constant + 1) / (observed + 1 / even_share));
   }
 
-  // Whether three calls of this relay take longer than a short outage.
+  // Whether kOutageStreak calls of this relay take longer than a short outage.
   bool is_rare_caller(const Route& route) const {
     return estimated_rate(route) * kMinInformedSeconds < kOutageStreak;
   }
 
-  // Refused above a limit that all relays share: send slower, from the own demand seen, and slower again with
-  // each refusal in a row; at random, so that relays turned away together do not come back together. Also
-  // where a wait was told: all were told it, and refused calls may use the limit up.
+  // A limit shared by all relays refused a call: sends at a lower rate, starting from this relay's own rate,
+  // and lower again with each refusal in a row. The first token comes at a random time, so that relays
+  // refused together do not return together. Also applies if the host asked for a wait: all relays were
+  // asked, and refused calls may use up the limit.
   void reduce_pacing_rate(const Attempt& attempt, Route& route) {
     if (attempt.sent < route.rate_cut_at) return;
     const bool starts_streak = route.pacing_rate == 0 || route.unserved_streak == 0;
@@ -577,21 +596,22 @@
                                        : std::max(kInitialPacingFactor * own_rate, kMinInitialPacingRate);
   }
 
-  // Guards against crawling back for a minute where a limit had fallen for seconds: a limit's span is over
-  // and nothing was refused, so up to the even part of what the list tells it was not this that refused
-  // before.
+  // Without the larger gain a relay would take a minute to recover after a limit was low for seconds. If
+  // nothing was refused for longer than the span of a limit, the rate may grow fast up to this relay's even
+  // share of the listed limit: that limit was not what refused the calls.
   double pacing_gain(const Route& route) const {
     const bool quiet =
         now_ - route.rate_cut_at > kMinRefusalSpan && route.pacing_rate < route.rate_limit / settings_.relays;
     return quiet ? kQuietPacingGain : kPacingGain;
   }
 
-  // Two steps to a half: a record for each served call would be one for each gain of the pace.
+  // Rounds down to a power of the square root of two. Without rounding, each served call would change the
+  // rate and cause a record.
   static double round_to_step(double rate) {
     return rate > 0 ? std::exp2(std::floor(2 * std::log2(rate)) / 2) : 0;
   }
 
-  // An outage that rests on suspicion alone is not worth keeping.
+  // An outage that is inferred from overdue calls alone is not saved.
   void save_destination_states() {
     for (auto& [number, destination] : destinations_) {
       DestinationState next{number, destination.retry_tokens - destination.retry_tokens % kRetryCost};
@@ -608,7 +628,7 @@
     }
   }
 
-  // Share of the relays that were handed a message for the lane in the outage, and so know of it.
+  // Share of the relays that got a message for the route during the outage, and so know of it.
   double informed_share(const Route& route) const {
     if (route.outage_is_shared) return 1;
     const Time end = route.recovery_start == 0 ? now_ : route.recovery_start;
@@ -616,7 +636,8 @@
                                        route.baseline_rate));
   }
 
-  // Own part of what a cold destination takes, beside the first calls of the relays that know of no outage.
+  // This relay's share of the load that a destination in slow start takes, after subtracting the first calls
+  // of the relays that do not know of the outage.
   double slow_start_rate(const Route& route) const {
     const double progress =
         settings_.slow_start <= 0 ? 0 : seconds(now_ - route.recovery_start) / seconds(settings_.slow_start);
@@ -627,10 +648,10 @@
            std::max(0.0, kSlowStartMargin * settings_.overload_factor * capacity - (1 - informed)) / informed;
   }
 
-  // The most scouts a second of all relays together. They are calls like any other once it is back, so within
-  // a fall window they keep to the budget that its return begins with and to what chance may add to it: where
-  // few relays hold a token each, surely; where many do, by four deviations of a count that is close to
-  // Poisson.
+  // Upper bound on the rate of trial calls of all relays together. Once the destination is back, trial calls
+  // count as load, so within one overload window they have to stay under the budget at the start of the
+  // recovery plus the tolerated random excess: with few relays holding a token each, in all cases; with many,
+  // by four standard deviations of a nearly Poisson-distributed count.
   double max_trial_rate(const Route& route) const {
     const double window = seconds(settings_.overload_window);
     if (window <= 0) return std::numeric_limits<double>::infinity();
@@ -641,19 +662,21 @@
     return std::max(root * root, allowed - settings_.relays) / window;
   }
 
-  // Own part of the fleet's scouts. The relays that hold messages for the lane share them.
+  // This relay's share of the fleet's trial calls. The relays that hold messages for the route share them.
   double trial_rate(const Route& route) const {
     if (route.trial_duty == TrialAssignment::Duty::kSelf)
-      return kMinTrialRate;  // what it finds is told to all
+      // All relays are notified of the result.
+      return kMinTrialRate;
     const double wanted = std::max(kTrialShare * route.baseline_rate, kMinTrialRate / settings_.relays);
     return std::min(wanted, max_trial_rate(route) / settings_.relays) / informed_share(route);
   }
 
-  // When this lane may be sent to; kNever: only after some outcome.
+  // When a call may be sent on this route; kNever: not before some other event.
   Time admitted_at(Route& route) {
     if (route.retry_after_until > now_) return route.retry_after_until;
     if (route.outage_start != 0) {
-      // Without an answer to the last scout another tells little, and would fill the slots.
+      // Before the last trial call has its outcome, another one adds little information and would fill the
+      // slots.
       if (route.recovery_start == 0 &&
           (route.trials_in_flight > 0 || route.trial_duty == TrialAssignment::Duty::kOther))
         return kNever;
@@ -678,8 +701,8 @@
     if (route.pacing_rate > 0) route.pacing_bucket.tokens -= 1;
   }
 
-  // Where probes are allowed one goes ahead of each scout: it costs no token, and no message that a hang
-  // would end. Not trusted alone, as a probe may pass a hang by.
+  // If probes are allowed, one is sent ahead of each trial call: a probe costs no retry token, and no message
+  // that a hang would end. A probe alone is no proof, as a hanging destination may still answer probes.
   bool may_send_trial(Route& route, Host& host) {
     if (route.outage_start == 0 || route.recovery_start != 0 || !settings_.may_probe) return true;
     if (route.probe_ok) {
@@ -694,7 +717,7 @@
     return false;
   }
 
-  // ---- Answers that are due ----
+  // ---- Final answers ----
 
   void erase_message(uint64_t id) {
     const auto it = messages_.find(id);
@@ -711,11 +734,12 @@
     const ClassSettings& c = settings_.classes[message.arrival.message_class];
     if (c.effect == Effect::kSafe || !message.maybe_executed) return true;
     if (message.maybe_executed_before_restart)
-      return false;  // its outcome is lost: a client's retry might outlast the key
+      // The outcome is unknown: a client's retry might come after the key was forgotten.
+      return false;
     return c.effect == Effect::kKeyed && c.key_scope == KeyScope::kAll;
   }
 
-  // Whether another attempt may ever be made.
+  // Whether no further attempt is allowed.
   bool attempts_exhausted(const Message& message) const {
     const ClassSettings& c = settings_.classes[message.arrival.message_class];
     if (message.attempts >= settings_.max_attempts) return true;
@@ -723,9 +747,10 @@
     return c.effect == Effect::kUnsafe || (c.effect == Effect::kKeyed && now_ >= key_window_end(message));
   }
 
-  // A repeat without a token, where at the rate of served calls none is earned before its time is up. Guards
-  // against holding what a rare caller will never send: its client may still find another relay. Not where it
-  // may have run: at a destination that fails its calls, clients would then repeat what the bucket does not.
+  // Whether a message waits for a retry token that, at the current rate of served calls, it cannot get within
+  // its lifetime. It is refused at once, because its client may still succeed with another relay. Does not
+  // apply if the message may have been executed: at a destination that fails its calls, clients would then
+  // make the retries that the bucket prevents.
   bool lacks_retry_token(const Message& message) {
     if (!message.is_retry || message.maybe_executed) return false;
     const Destination& destination = destinations_[message.arrival.destination];
@@ -742,8 +767,9 @@
 
   Time decision_deadline(const Message& message) const { return message.arrival.due - 2 * settings_.tick; }
 
-  // When a client's retry has a chance again: after a told wait, an outage's next look, or a turn at the
-  // pace. At random, so that what was turned away together does not come back together.
+  // Earliest time at which a client's retry can succeed: after a requested wait or with the next token of the
+  // pacing rate, and the upper bound during an outage. A random part keeps clients that were refused together
+  // from returning together.
   Time client_retry_after(const Message& message) {
     Time soonest = kMaxClientRetryAfter;
     for (const auto& [endpoint, host] : hosts_by_destination_[message.arrival.destination]) {
@@ -778,7 +804,7 @@
     }
   }
 
-  // Gives the least worth back when there is hardly room for more.
+  // Refuses the messages with the least worth when the relay is nearly full.
   void shed_load() {
     const auto max_messages = static_cast<size_t>(std::max(1.0, kShedThreshold * settings_.max_open));
     if (messages_.size() <= max_messages) return;
@@ -817,7 +843,8 @@
   }
 
   struct Candidate {
-    double negated_worth_rate;  // worth for each second of a slot, negated: the most comes first
+    // Worth per second of a slot, negated so that the highest is sorted first.
+    double negated_worth_rate;
     Time target;
     uint64_t id;
     auto operator<=>(const Candidate&) const = default;
@@ -843,7 +870,8 @@
 
   // ---- Dispatch ----
 
-  // The design's slot share, narrowed while calls run longer than is usual at this destination.
+  // Calls that a destination may have in flight while messages to others wait. Reduced while its calls take
+  // longer than usual.
   int max_calls_of(const Destination& destination) const {
     const double speed_ratio =
         destination.typical_latency.samples == 0
@@ -855,12 +883,13 @@
 
   void dispatch() {
     std::vector<Candidate> waiting = candidates();
-    // First within each destination's share; slots that no other waits for then go to anyone.
+    // First within each destination's share; then slots that no other destination needs go to any message.
     for (const bool within_share : {true, false}) {
       std::vector<Candidate> deferred;
       for (const Candidate& c : waiting) {
         Message& message = messages_.at(c.id);
-        if (message.in_flight) continue;  // went along in another message's call
+        // Already sent as part of another message's call.
+        if (message.in_flight) continue;
         Destination& destination = destinations_[message.arrival.destination];
         if (static_cast<int>(calls_in_flight_.size()) >= settings_.slots) return cancel_overdue_calls();
         if (within_share && destination.calls_in_flight >= max_calls_of(destination)) {
@@ -873,8 +902,9 @@
     }
   }
 
-  // Messages wait and no slot is free: stop waiting for overdue calls, once such calls proved lost, not slow.
-  // Guards against lost answers filling the slots; harms where a destination has only now become slow.
+  // Messages wait and no slot is free: cancels overdue calls if such calls turned out to be lost rather than
+  // slow. Otherwise lost answers would fill the slots. The cost: calls are cancelled in vain at a destination
+  // that has just become slow.
   void cancel_overdue_calls() {
     if (!settings_.may_cancel || late_success_share_ > kMinLateSuccessShare) return;
     for (auto& [id, attempt] : attempts_) {
@@ -896,8 +926,10 @@
     start_call(destination, *host);
     send(message, destination, *host);
     const Route& route = *host->route;
-    if (route.outage_start != 0 && route.recovery_start == 0) return;  // one message is scout enough
-    // What goes to one endpoint in one round may share a call: one slot, one place under the limit, one fate.
+    // One message is enough for a trial call.
+    if (route.outage_start != 0 && route.recovery_start == 0) return;
+    // Messages sent to one endpoint in the same step may share a call. It takes one slot and counts once
+    // against the limit.
     int remaining = batch_of(host->member) - 1;
     for (const Candidate& c : waiting) {
       if (remaining <= 0) return;
@@ -914,7 +946,7 @@
                                                                   : 1;
   }
 
-  // A keyed message that may have run stays with the endpoints that remember its key.
+  // A keyed message that may have been executed is only sent to endpoints that know its key.
   bool in_key_scope(const Message& message, const Host& host) const {
     const ClassSettings& c = settings_.classes[message.arrival.message_class];
     if (!message.maybe_executed || c.effect != Effect::kKeyed) return true;
@@ -951,7 +983,8 @@
         host.latency.samples > 0 ? host.latency : latency_of(destinations_[host.member.destination]);
     double cost =
         latency.mean * (1 + 0.5 * host.calls_in_flight) / std::max(0.1, host.route->remaining_share);
-    // Of a host that was never called nothing is known: all of a fleet of rare callers would take the first.
+    // Nothing is known of a host that was never called. Without the random preference, all rare callers of a
+    // fleet would choose the first one.
     if (host.latency.samples == 0 && is_rare_caller(*host.route)) cost += kPreferenceWeight * host.preference;
     if (host.member.zone != settings_.zone) cost += kSecondsPerPrice * settings_.price_cross_zone;
     if (needs_connection(host)) cost += kSecondsPerPrice * settings_.price_handshake;
@@ -965,7 +998,8 @@
   }
 
   Time timeout_of(const Message& message, const Destination& destination) {
-    // No call keeps its slot for the whole life of its message: lost answers would fill the slots one by one.
+    // No call keeps its slot for the whole lifetime of its message: lost answers would fill the slots one by
+    // one.
     const double max_seconds = std::max(1.0, kTimeoutFactor * seconds(latency_of(destination).overdue_age()));
     return std::min(message.arrival.due - now_, micros(timeout_factor(message) * max_seconds));
   }
@@ -1000,7 +1034,7 @@
     actions_->push_back(send_action);
   }
 
-  // ---- The list and the timer ----
+  // ---- Discovery watch and timer ----
 
   void maintain_watch() {
     if (!settings_.list_requires_watch || watch_open_) return;
@@ -1021,36 +1055,36 @@
 
   Settings settings_;
   Random random_;
-  uint64_t preference_seed_;  // seed of this relay's liking for hosts
+  uint64_t preference_seed_;  // seed of this relay's random preferences for hosts
   Time now_ = std::numeric_limits<Time>::min();
-  Time first_step_ = kNever;  // when the first step was
+  Time first_step_ = kNever;  // time of the first step
   std::vector<Action>* actions_ = nullptr;
   Time next_wake_ = kNever;
   Time timer_at_ = kNever;
-  Time shutdown_at_ = kNever;       // when this process ends
-  Time longest_give_up_ = kSecond;  // life of the longest-lived class
+  Time shutdown_at_ = kNever;       // when this process stops
+  Time longest_give_up_ = kSecond;  // longest lifetime of all classes, at least one second
   bool watch_open_ = false;
   Time next_watch_ = std::numeric_limits<Time>::min();
   Time watch_backoff_ = kSecond / 4;
   uint64_t last_call_id_ = 0;
-  double idle_loss_share_ = 0;   // share of calls on idle connections that broke or got no answer
-  double fresh_loss_share_ = 0;  // and of calls on fresh ones
+  double idle_loss_share_ = 0;   // share of calls on idle connections that broke or timed out
+  double fresh_loss_share_ = 0;  // the same for calls on new connections
   Time max_idle_age_ = kSecond * 3600;
   Time max_idle_age_set_at_ = 0;
-  double late_success_share_ =
-      2 * kMinLateSuccessShare;  // share of the calls past the suspicious age that are served after all
-  Time call_idle_time_ = 0;      // how long the connection of the last call had been idle
+  double late_success_share_ = 2 * kMinLateSuccessShare;  // share of overdue calls that are served in the end
+  Time call_idle_time_ = 0;  // idle time of the connection that the last call uses
   std::map<int, KindState> kinds_;
   std::map<uint64_t, Message> messages_;
   std::map<std::pair<uint64_t, int>, Attempt> attempts_;
-  std::map<uint64_t, int> calls_in_flight_;  // calls out, with their messages that have no outcome yet
+  // Calls in flight, with the number of their messages that have no outcome yet.
+  std::map<uint64_t, int> calls_in_flight_;
   std::map<Endpoint, Host> hosts_;
-  std::set<Endpoint> removed_hosts_;  // of these, those that are gone but may have calls out
+  std::set<Endpoint> removed_hosts_;  // removed hosts that may have calls in flight
   std::map<int, std::map<Endpoint, Host*>> hosts_by_destination_;
   std::map<int, Destination> destinations_;
   std::map<RouteKey, Route> routes_;
-  std::map<RouteKey, Route*>
-      monitored_routes_;  // in an outage, or with calls failed or overdue: judged in each step
+  // Routes in an outage, or with failed or overdue calls: checked in each step.
+  std::map<RouteKey, Route*> monitored_routes_;
   std::map<int, TokenBucket> tenant_buckets_;
   std::map<uint64_t, std::vector<uint64_t>> ordered_queues_;
   std::map<uint64_t, std::pair<Time, uint64_t>> key_pauses_;
--- a/src/policy_parts.h
+++ b/src/policy_parts.h
@@ -1,5 +1,5 @@
-// What the decisions are made of: constants, each with its reason, and small values that are kept of calls,
-// destinations and endpoints. Used by src/policy.cpp alone.
+// Building blocks of the policy: constants, each with its reason, and the state kept for calls, routes,
+// destinations and hosts. Included by src/policy.cpp only.
 #pragma once
 
 #include <algorithm>
@@ -19,96 +19,130 @@
 inline constexpr Time kSecond = 1000 * kMs;
 inline constexpr Time kNever = std::numeric_limits<Time>::max();
 
-// Retry bucket: a served call earns a tenth, so repeats stay under a tenth when failures are common.
-inline constexpr int kRetryCost = 10;  // in parts; a served call earns one
-inline constexpr int kRetryBucketCapacity =
-    10 * kRetryCost;  // full at the start: short troubles are ridden out by N retries
-inline constexpr Time kMinRetryBackoff =
-    20 * kMs;  // a repeat's random pause: long enough to leave the moment of failure
+// Retry bucket, counted in tenths of a token. A retry costs one token and a served call earns a tenth of one,
+// so retries stay under a tenth of the calls when failures are common.
+inline constexpr int kRetryCost = 10;
+// The bucket is full at the start, so that short disturbances are covered by this many retries.
+inline constexpr int kRetryBucketCapacity = 10 * kRetryCost;
+// Random pause before a retry: long enough for the cause of the failure to have passed.
+inline constexpr Time kMinRetryBackoff = 20 * kMs;
 inline constexpr Time kMaxRetryBackoff = 250 * kMs;
 
-// Slot share: one destination's part of the slots while others wait, and how far long calls narrow it.
+// A destination's share of the slots while messages to other destinations wait, and the minimum to which slow
+// calls reduce that share.
 inline constexpr double kSlotShare = 0.5;
 inline constexpr double kMinSlotShare = 0.15;
 
-// Health.
-inline constexpr double kSampleWeight = 0.15;  // weight of a new latency or failure sample
-inline constexpr Time kIdleAgeDoubling =
-    30 * kSecond;                          // the age at which an idle connection is trusted doubles so fast
-inline constexpr int kIdleAgeDivisor = 3;  // that age, in parts of the age at which a call on one was lost
-inline constexpr size_t kMaxSuspectCalls = 4;    // lost calls that a destination is remembered for
-inline constexpr Time kTableFullSpan = kSecond;  // no connection, and served again within this: not down
-inline constexpr double kTableFullShare = 0.05;  // more calls without a connection: idle ones fill the tables
-inline constexpr double kIdleLossMargin =
-    0.2;  // calls on idle connections fail by so much more than on fresh ones
-inline constexpr Time kInitialLatency = 400 * kMs;  // assumed before anything was measured
-inline constexpr double kOverdueDeviations =
-    6;  // a call older than mean + this many deviations is suspiciously slow
-inline constexpr Time kMinOverdueAge = 700 * kMs;  // and at least this old
-inline constexpr double kTimeoutFactor =
-    2;  // time-out of a repeatable message, in multiples of the suspicious age
-inline constexpr double kUnsafeTimeoutFactor =
-    2;  // and of an unsafe one, for which a time-out ends all hope, of that
-inline constexpr int kMinOverdueCalls = 2;  // so many overdue calls, with nothing served since, make a hang
-inline constexpr double kMinLateSuccessShare =
-    0.35;  // a smaller share than this is not waited for when slots are short
-inline constexpr Time kRateTimeConstant = 10 * kSecond;  // memory of the own served rate
-inline constexpr int kOutageStreak =
-    3;  // so many failures in a row, over at least kDeadSpan, prove an outage
-// And so many, one of them a failure, where the even share makes three take longer than a short outage.
+// ---- Health ----
+
+// Weight of a new sample in the moving averages of latencies and failure shares.
+inline constexpr double kSampleWeight = 0.15;
+// The idle age up to which connections are reused doubles within this time.
+inline constexpr Time kIdleAgeDoubling = 30 * kSecond;
+// When a call is lost on an idle connection, that age is cut to the connection's idle time divided by this.
+inline constexpr int kIdleAgeDivisor = 3;
+// Number of lost calls on idle connections that are kept per route.
+inline constexpr size_t kMaxSuspectCalls = 4;
+// A host that failed to accept a connection but served a call sent within this time after it is not down: its
+// connection table was full.
+inline constexpr Time kTableFullSpan = kSecond;
+// If more than this share of calls gets no connection, idle connections fill the hosts' connection tables.
+inline constexpr double kTableFullShare = 0.05;
+// Idle connections are being dropped if calls on them fail by this much more often than on fresh ones.
+inline constexpr double kIdleLossMargin = 0.2;
+// Latency assumed before any call was measured.
+inline constexpr Time kInitialLatency = 400 * kMs;
+// A call is overdue once it is older than the mean latency plus this many mean deviations, and at least
+// kMinOverdueAge.
+inline constexpr double kOverdueDeviations = 6;
+inline constexpr Time kMinOverdueAge = 700 * kMs;
+// Timeout of a repeatable message, as a multiple of the overdue age.
+inline constexpr double kTimeoutFactor = 2;
+// Timeout of an unsafe message, as a multiple of that of a repeatable one: after a timeout it cannot be
+// retried.
+inline constexpr double kUnsafeTimeoutFactor = 2;
+// This many overdue calls, with nothing served since they were sent, count as a hang.
+inline constexpr int kMinOverdueCalls = 2;
+// If a smaller share of the overdue calls than this is served in the end, they are cancelled when slots run
+// out.
+inline constexpr double kMinLateSuccessShare = 0.35;
+// Time constant of this relay's rates of served calls.
+inline constexpr Time kRateTimeConstant = 10 * kSecond;
+// This many failures in a row, over at least kMinOutageSpan, count as an outage.
+inline constexpr int kOutageStreak = 3;
+// The same for a relay that calls the destination so rarely that kOutageStreak calls take longer than a short
+// outage. One of the calls has to have failed rather than been refused.
 inline constexpr int kRareCallerOutageStreak = 2;
-inline constexpr int kRelapseStreak = 2;  // and so many, after a return, that it was none
+// This many failures in a row during the recovery restart the outage.
+inline constexpr int kRelapseStreak = 2;
 inline constexpr Time kMinOutageSpan = 800 * kMs;
+// Refusals alone count as an outage only over a longer time: refusals at a rate limit last less.
 inline constexpr int kRefusalStreak = 3;
-inline constexpr Time kMinRefusalSpan =
-    2500 * kMs;  // refusals alone must last longer: spans of a limit are shorter
-inline constexpr Time kMinAvoidTime =
-    kSecond;  // a failing endpoint is passed over for so long, doubled up to
+inline constexpr Time kMinRefusalSpan = 2500 * kMs;
+// A failing host is avoided for this time, doubled with each further failure up to the maximum.
+inline constexpr Time kMinAvoidTime = kSecond;
 inline constexpr Time kMaxAvoidTime = 8 * kSecond;
 
-// Guards.
-inline constexpr double kSlowStartMargin =
-    0.7;  // part of the fail-back budget that is used: counts and clocks differ
-inline constexpr double kTrialShare =
-    0.5;  // scouts of all relays together, in parts of the rate before the outage
-inline constexpr double kMinTrialRate = 1.5;  // scouts a second of all relays together at least
-// What the terms of service count as chance beside a budget of so many calls: so many of its roots, and
-// calls.
+// ---- Rate guards ----
+
+// Part of the load allowed during slow start that is used: call counts and clocks differ between relays.
+inline constexpr double kSlowStartMargin = 0.7;
+// Trial calls of all relays together, as a part of the rate before the outage.
+inline constexpr double kTrialShare = 0.5;
+// Minimum rate of trial calls of all relays together, in calls a second.
+inline constexpr double kMinTrialRate = 1.5;
+// The terms of service accept random excess over a budget of N calls: this many times the square root of N,
+// plus this many calls.
 inline constexpr double kOverloadToleranceRoots = 2;
 inline constexpr double kOverloadToleranceCalls = 2;
-inline constexpr double kMinInformedSeconds =
-    5;  // seconds: holders of messages are counted as of an outage at least this old
-inline constexpr double kMinBaselineRate =
-    1.2;  // calls a second of all relays together, assumed where none was served
-inline constexpr double kMinInitialPacingRate =
-    0.3;  // calls a second: least pace that the first refusal is held against
-inline constexpr double kInitialPacingFactor = 1.5;  // and the own rate so many times
-inline constexpr double kPricedInitialPacingFactor =
-    0.7;  // or, where refused calls are priced, as much below it: a cut is to slow
-inline constexpr double kPacingCut = 0.7;          // pace after the first refusal above a limit
-inline constexpr double kRepeatedPacingCut = 0.5;  // and after each further one with nothing served between
-inline constexpr double kPacingGain = 0.03;        // regained, as a part of the pace, with each served call
-inline constexpr double kQuietPacingGain =
-    0.7;  // and below the even part of the told limit, after a span without refusal
-inline constexpr double kPacingBurstSeconds = 0.4;  // seconds of the pace that may go at once
-inline constexpr Time kKeyWindowMargin =
-    50 * kMs;  // a call is under way for a while before its host looks at its key
-inline constexpr double kShedThreshold = 0.9;  // part of max_open above which the least worth is given back
-
-inline constexpr Time kMinClientRetryAfter = 300 * kMs;  // what a refused client is told to wait
+// Seconds. Minimum age of an outage for estimating the share of relays that hold messages for the
+// destination.
+inline constexpr double kMinInformedSeconds = 5;
+// Calls a second of all relays together, assumed where none was served yet.
+inline constexpr double kMinBaselineRate = 1.2;
+// Rate that the first reduction starts from: at least this many calls a second, and at least this multiple of
+// this relay's own rate.
+inline constexpr double kMinInitialPacingRate = 0.3;
+inline constexpr double kInitialPacingFactor = 1.5;
+// Where refused calls are priced, the first reduction starts from this multiple of the own rate, so that it
+// slows the relay down.
+inline constexpr double kPricedInitialPacingFactor = 0.7;
+// Factor on the pacing rate after the first refusal above a limit, and after each further refusal with
+// nothing served in between.
+inline constexpr double kPacingCut = 0.7;
+inline constexpr double kRepeatedPacingCut = 0.5;
+// Growth of the pacing rate with each served call, as a part of it.
+inline constexpr double kPacingGain = 0.03;
+// The same below this relay's even share of the listed limit, once kMinRefusalSpan passed without a refusal.
+inline constexpr double kQuietPacingGain = 0.7;
+// Burst allowed by pacing, in seconds of the pacing rate.
+inline constexpr double kPacingBurstSeconds = 0.4;
+// A keyed call starts this long before its key window ends: it is in transit for a while before the host
+// checks the key.
+inline constexpr Time kKeyWindowMargin = 50 * kMs;
+// Above this part of max_open the messages with the least worth are refused.
+inline constexpr double kShedThreshold = 0.9;
+
+// Bounds of the retry time given to a client whose message is refused.
+inline constexpr Time kMinClientRetryAfter = 300 * kMs;
 inline constexpr Time kMaxClientRetryAfter = 1500 * kMs;
 
-// Ordering and choice of endpoint.
-inline constexpr double kPreferenceWeight =
-    1e-3;  // seconds: a relay's own liking for a host decides among equals only
-inline constexpr double kSecondsPerPrice = 5;  // seconds of latency that a price of 1 a call is held against
+// ---- Choice of host ----
+
+// Seconds of latency. Weight of a relay's random preference for a host: decides only among hosts that are
+// otherwise equal.
+inline constexpr double kPreferenceWeight = 1e-3;
+// Seconds of latency that a price of 1 per call is equivalent to.
+inline constexpr double kSecondsPerPrice = 5;
 
 inline double seconds(Time t) { return static_cast<double>(t) / 1e6; }
 inline Time micros(double s) { return static_cast<Time>(std::ceil(std::min(s, 1e9) * 1e6)); }
 
-class Random {  // splitmix64: the same numbers everywhere
+// splitmix64: the same sequence on every platform.
+class Random {
  public:
   explicit Random(uint64_t seed) : state_(seed) {}
+  // Uniform over [low, high].
   Time between(Time low, Time high) {
     uint64_t z = (state_ += 0x9e3779b97f4a7c15u);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -120,7 +154,7 @@
   uint64_t state_;
 };
 
-// Mean and mean deviation of the time that served calls take, in seconds.
+// Moving mean and mean deviation of the durations of served calls, in seconds.
 struct Latency {
   double mean = seconds(kInitialLatency);
   double deviation = seconds(kInitialLatency) / 2;
@@ -131,13 +165,14 @@
     deviation += gain * (std::abs(took - mean) - deviation);
     mean += gain * (took - mean);
   }
+  // Age from which a call counts as overdue.
   Time overdue_age() const { return std::max(kMinOverdueAge, micros(mean + kOverdueDeviations * deviation)); }
 };
 
-// A rate that forgets: events a second over about the last kRateMemory.
+// Exponentially decaying event rate with time constant kRateTimeConstant.
 struct DecayingRate {
   double rate = 0;
-  Time at = 0;
+  Time at = 0;  // time of the last event
 
   double per_second(Time now) const {
     return rate * std::exp(-seconds(now - at) / seconds(kRateTimeConstant));
@@ -148,15 +183,16 @@
   }
 };
 
-// Tokens that refill with time; used to pace sends.
+// Token bucket. Its rate and burst are passed with each call, because they change with time.
 struct TokenBucket {
   double tokens = 0;
-  Time at = 0;
+  Time at = 0;  // time of the last refill
 
   void refill(Time now, double rate, double burst) {
     tokens = std::min(burst, tokens + rate * seconds(now - at));
     at = now;
   }
+  // When one token will be available.
   Time ready_at(Time now, double rate) const {
     return tokens >= 1 ? now : now + std::max<Time>(1, micros((1 - tokens) / std::max(rate, 1e-6)));
   }
@@ -167,62 +203,64 @@
   Time sent = 0;
   uint64_t call_id = 0;
   bool cancelled = false;
-  bool is_trial = false;  // sent to find an outage's end
-  Time idle_time = 0;     // how long its connection had been idle; 0: fresh or busy
+  bool is_trial = false;  // sent during an outage to find out whether it is over
+  Time idle_time = 0;     // how long its connection had been idle; 0: a new connection or one in use
 };
 
 struct Message {
   Arrival arrival;
-  Time target = 0;  // until then it earns its full worth
+  Time target = 0;  // point in time until which delivery earns the full worth
   double worth = 0;
   int attempts = 0;
   bool in_flight = false;
-  bool is_retry = false;  // the next send pays a token
+  bool is_retry = false;  // the next send costs a retry token
   bool withdrawn = false;
-  bool maybe_executed = false;   // an attempt may have run
+  bool maybe_executed = false;   // an attempt may have been executed
   Time maybe_executed_sent = 0;  // when the first such attempt was sent
   int maybe_executed_zone = 0;
-  bool maybe_executed_before_restart = false;  // it may have run before a restart
+  bool maybe_executed_before_restart = false;
   Time not_before = 0;
 };
 
-struct SuspectCall {  // a call that was lost on a connection that had been idle so long
+// A call that was lost on a connection that had been idle.
+struct SuspectCall {
   Time sent = 0;
   Time idle_time = 0;
 };
 
-// What the rules tie to a destination: all its endpoints, or one where routes are apart.
-using RouteKey = std::pair<int, Endpoint>;  // a destination; and an endpoint where routes are apart
+// A route is the unit to which rate limits and outages apply: a destination, or one endpoint of a destination
+// whose kind has independent endpoints. The key holds the destination, and the endpoint in the second case.
+using RouteKey = std::pair<int, Endpoint>;
 
 struct Route {
   RouteKey key;
-  Time retry_after_until = 0;
-  double rate_limit = 0;   // calls a second from all relays together; 0: unknown or none
-  double pacing_rate = 0;  // own sends a second at most; 0: never refused
-  double restored_pacing_rate =
-      0;                 // pace that a served call restores: one cut below that before the refusals in a row
-  Time rate_cut_at = 0;  // when the pace was last cut; calls sent before tell nothing new
+  Time retry_after_until = 0;       // no call before this time: a host asked for a wait
+  double rate_limit = 0;            // calls a second from all relays together; 0: unknown or none
+  double pacing_rate = 0;           // upper bound on this relay's sends a second; 0: never refused
+  double restored_pacing_rate = 0;  // rate that a served call restores: after the first refusal of a streak
+  Time rate_cut_at =
+      0;  // when the pacing rate was last reduced; refusals of earlier calls add no information
   TokenBucket pacing_bucket;
-  double remaining_share = 1;   // mean share of the limit that is left, as reported or from refusals
-  bool pacing_limited = false;  // a message waited for the pace since the last served call
+  double remaining_share = 1;   // mean share of the limit that is unused, from load reports and refusals
+  bool pacing_limited = false;  // a message waited for the pacing bucket since the last served call
   int unserved_streak = 0;      // calls in a row that were not served
   int failures_in_streak = 0;   // of these, failures rather than refusals
   Time streak_start = 0;        // when the first of them was sent
-  std::set<Endpoint>
-      streak_endpoints;  // hosts at which these were, and that the list has not taken away since
-  double pacing_rate_before_streak = 0;  // the pace before the streak
-  Time outage_start = 0;                 // 0: no outage
-  bool suspected = false;                // the outage rests on overdue calls alone
-  Time recovery_start = 0;               // first served call after the outage; 0: still out
-  double baseline_rate = 0;              // own served rate before it
+  std::set<Endpoint> streak_endpoints;  // hosts of these calls that the list still has as ready
+  double pacing_rate_before_streak = 0;
+  Time outage_start = 0;     // 0: no outage
+  bool suspected = false;    // the outage is inferred from overdue calls alone
+  Time recovery_start = 0;   // first served call after the outage; 0: still out
+  double baseline_rate = 0;  // this relay's rate of served calls before the outage
   TrialAssignment::Duty trial_duty = TrialAssignment::Duty::kShared;
   bool outage_is_shared = false;  // all relays know of the outage
-  TokenBucket outage_bucket;
-  int trials_in_flight = 0;                                  // out now
-  Time last_served_sent = std::numeric_limits<Time>::min();  // when the youngest served call was sent
+  TokenBucket outage_bucket;      // paces trial calls, and all calls during slow start
+  int trials_in_flight = 0;
+  Time last_served_sent = std::numeric_limits<Time>::min();  // send time of the youngest served call
   bool probe_in_flight = false;
   bool probe_ok = false;
-  std::vector<SuspectCall> suspect_calls;  // lost on idle connections, with none served on a fresh one since
+  // Calls lost on idle connections, with none served on a new connection since.
+  std::vector<SuspectCall> suspect_calls;
   DecayingRate served_rate;
 };
 
@@ -235,28 +273,28 @@
   int calls_in_flight = 0;
   int connections = 0;
   Time last_used = 0;
-  Time first_connect_failure = 0;  // the first connection that failed since something was served; 0: none
+  Time first_connect_failure = 0;  // first failed connection since a call was served; 0: none
   int consecutive_failures = 0;
   Time avoid_until = 0;
   Latency latency;
-  double preference = 0;  // of this relay, from 0 to 1: what decides among equals
+  double preference = 0;  // of this relay, random in [0, 1]; decides among otherwise equal hosts
 };
 
-// What is alike among destinations of a kind: the prior for one that this relay seldom calls.
+// State common to the destinations of a kind: the prior for a destination that this relay rarely calls.
 struct KindState {
   Latency latency;
-  double connect_failure_share = 0;  // share of calls that got no connection; falls slowly
-  Time connections_scarce_until =
-      std::numeric_limits<Time>::min();  // a host held all the connections that it takes
+  double connect_failure_share = 0;  // share of calls that got no connection; decays slowly
+  // Until then no idle connections are kept: a host had reached its connection limit.
+  Time connections_scarce_until = std::numeric_limits<Time>::min();
 };
 
 struct Destination {
   int kind = 0;
-  int retry_tokens = kRetryBucketCapacity;  // in parts
+  int retry_tokens = kRetryBucketCapacity;  // in tenths of a token
   int calls_in_flight = 0;
   DestinationState saved_state{0, kRetryBucketCapacity};
   DecayingRate served_rate;
-  Latency typical_latency;  // the pace without outliers, against which the slot share narrows
+  Latency typical_latency;  // without outliers; the reference for reducing the slot share
   Latency latency;
 };
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-// Settings from their text form. Nothing is decided here.
+// Parses settings from their text form.
 #include <charconv>
 #include <cmath>
 #include <map>
@@ -12,7 +12,7 @@
 namespace firspool {
 namespace {
 
-constexpr int kMaxEntries = 100000;  // a list longer than this is a mistake in the text
+constexpr int kMaxEntries = 100000;  // a longer list is an error in the text
 
 class KeyValues {
  public:
