--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -11,17 +11,18 @@
 namespace firspool::wire {
 namespace {
 
-constexpr size_t kChunk = 1 << 20;  // read in pieces, so that a false length allocates nothing by itself
+constexpr size_t kReadChunkBytes =
+    1 << 20;  // read in pieces, so that a false length allocates nothing by itself
 
 bool read_exactly(std::string& out, size_t count) {
   out.clear();
   while (out.size() < count) {
-    const size_t old = out.size();
-    const size_t want = std::min(kChunk, count - old);
-    out.resize(old + want);
-    const size_t got = std::fread(out.data() + old, 1, want, stdin);
-    if (got < want) {
-      out.resize(old + got);
+    const size_t old_size = out.size();
+    const size_t wanted = std::min(kReadChunkBytes, count - old_size);
+    out.resize(old_size + wanted);
+    const size_t got = std::fread(out.data() + old_size, 1, wanted, stdin);
+    if (got < wanted) {
+      out.resize(old_size + got);
       return false;
     }
   }
@@ -39,7 +40,7 @@
         pending.erase(item.instance);
       } else if (const auto* start = std::get_if<PowerOn>(&item.event)) {
         pending.erase(item.instance);
-        guarded(item.instance, reply, [&] {
+        run_and_report_panic(item.instance, reply, [&] {
           policies_.erase(item.instance);
           policies_.emplace(item.instance, Policy(parse_settings(start->settings), start->seed));
         });
@@ -52,7 +53,7 @@
       const auto policy = policies_.find(instance);
       if (policy == policies_.end()) continue;
       std::vector<Action> actions;
-      guarded(instance, reply, [&] { policy->second.step(now, list, actions); });
+      run_and_report_panic(instance, reply, [&] { policy->second.step(now, list, actions); });
       reply.add_actions(instance, actions);
     }
     return reply.frame();
@@ -60,9 +61,9 @@
 
  private:
   template <typename F>
-  static void guarded(int instance, Encoder& reply, F&& run) {
+  static void run_and_report_panic(int instance, Encoder& reply, F&& function) {
     try {
-      run();
+      function();
     } catch (const std::exception& error) {
       reply.add_panic(instance, error.what());
     }
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -8,41 +8,41 @@
 namespace {
 
 constexpr size_t kMemberBytes = 24;
-constexpr uint32_t kLists = 16;  // host lists are numbered below this
-constexpr size_t kLongestText = 0xffff;
+constexpr uint32_t kMaxLists = 16;  // host lists are numbered below this
+constexpr size_t kMaxTextBytes = 0xffff;
 
 // Reads big-endian fields and knows where it stands.
 class Reader {
  public:
   Reader(std::string_view bytes, size_t origin) : bytes_(bytes), origin_(origin) {}
 
-  size_t left() const { return bytes_.size() - at_; }
+  size_t remaining() const { return bytes_.size() - at_; }
   size_t position() const { return origin_ + at_; }
 
-  std::string_view raw(size_t count, const char* what) {
-    if (count > left()) fail(std::string(what) + " is cut short");
+  std::string_view read_bytes(size_t count, const char* field) {
+    if (count > remaining()) fail(std::string(field) + " is cut short");
     at_ += count;
     return bytes_.substr(at_ - count, count);
   }
 
   template <typename T>
-  T number(const char* what) {
+  T read_number(const char* field) {
     T value = 0;
-    for (const char byte : raw(sizeof(T), what)) {
+    for (const char byte : read_bytes(sizeof(T), field)) {
       value = static_cast<T>((static_cast<uint64_t>(value) << 8) | static_cast<uint8_t>(byte));
     }
     return value;
   }
 
-  uint8_t u8(const char* what) { return number<uint8_t>(what); }
-  uint16_t u16(const char* what) { return number<uint16_t>(what); }
-  uint32_t u32(const char* what) { return number<uint32_t>(what); }
-  uint64_t u64(const char* what) { return number<uint64_t>(what); }
-  float f32(const char* what) { return std::bit_cast<float>(u32(what)); }
+  uint8_t u8(const char* field) { return read_number<uint8_t>(field); }
+  uint16_t u16(const char* field) { return read_number<uint16_t>(field); }
+  uint32_t u32(const char* field) { return read_number<uint32_t>(field); }
+  uint64_t u64(const char* field) { return read_number<uint64_t>(field); }
+  float f32(const char* field) { return std::bit_cast<float>(u32(field)); }
 
-  Time time(const char* what) {
-    const double seconds = std::bit_cast<double>(u64(what));
-    if (!(std::abs(seconds) < 1e12)) fail(std::string(what) + " is out of range");
+  Time time(const char* field) {
+    const double seconds = std::bit_cast<double>(u64(field));
+    if (!(std::abs(seconds) < 1e12)) fail(std::string(field) + " is out of range");
     return std::llround(seconds * 1e6);
   }
 
@@ -55,14 +55,14 @@
 
   std::vector<float> report() {
     const size_t count = u8("metrics");
-    if (count * sizeof(float) > left()) fail("metrics is cut short");
+    if (count * sizeof(float) > remaining()) fail("metrics is cut short");
     std::vector<float> out(count);
     for (float& value : out) value = f32("metrics");
     return out;
   }
 
-  [[noreturn]] void fail(const std::string& what) const {
-    throw WireError(what + " at byte " + std::to_string(position()));
+  [[noreturn]] void fail(const std::string& message) const {
+    throw WireError(message + " at byte " + std::to_string(position()));
   }
 
  private:
@@ -101,7 +101,7 @@
   return out;
 }
 
-Outcome to_outcome(Reader& in) {
+Outcome read_outcome(Reader& in) {
   constexpr Outcome kByCode[] = {
       Outcome::kError,         Outcome::kOk,    Outcome::kRefused,   Outcome::kTimeout,
       Outcome::kConnectFailed, Outcome::kReset, Outcome::kCancelled, Outcome::kNotStarted};
@@ -110,12 +110,12 @@
   return kByCode[code];
 }
 
-AttemptEnded read_outcome(Reader& in) {
+AttemptEnded read_attempt_ended(Reader& in) {
   AttemptEnded out;
   out.id = in.u64("op_id");
   out.endpoint = in.endpoint();
   out.duration = in.time("took_s");
-  out.outcome = to_outcome(in);
+  out.outcome = read_outcome(in);
   out.final = in.u8("final") != 0;
   const uint32_t note = in.u32("note");
   if (out.outcome == Outcome::kRefused) out.retry_after = Time{note} * 1000;
@@ -124,20 +124,20 @@
   return out;
 }
 
-ProbeEnded read_probe(Reader& in) {
+ProbeEnded read_probe_ended(Reader& in) {
   ProbeEnded out;
   out.endpoint = in.endpoint();
-  out.ok = to_outcome(in) == Outcome::kOk;
+  out.ok = read_outcome(in) == Outcome::kOk;
   out.duration = in.time("took_s");
   out.report = in.report();
   return out;
 }
 
-PeerMessage read_note(Reader& in) {
+PeerMessage read_peer_message(Reader& in) {
   PeerMessage out;
   out.from = in.u16("by");
   const uint16_t count = in.u16("octets");
-  out.bytes = in.raw(count, "octets");
+  out.bytes = in.read_bytes(count, "octets");
   return out;
 }
 
@@ -158,7 +158,7 @@
 }
 
 void put_text(std::string& out, std::string_view text) {
-  text = text.substr(0, kLongestText);
+  text = text.substr(0, kMaxTextBytes);
   put(out, static_cast<uint16_t>(text.size()));
   out.append(text);
 }
@@ -244,7 +244,7 @@
         PowerOn event;
         event.seed = in.u64("prng");
         const uint32_t count = in.u32("facts");
-        event.settings = in.raw(count, "facts");
+        event.settings = in.read_bytes(count, "facts");
         add(std::move(event));
         break;
       }
@@ -270,10 +270,10 @@
         add(Event(read_arrival(in)));
         break;
       case 4:  // the first part of a streamed answer: outside this service type
-        in.raw(23, "first");
+        in.read_bytes(23, "first");
         break;
       case 5:
-        add(Event(read_outcome(in)));
+        add(Event(read_attempt_ended(in)));
         break;
       case 6:
         add(Event(Withdrawn{in.u64("op_id")}));
@@ -282,10 +282,10 @@
         add(Event(TimerFired{in.u64("mark")}));
         break;
       case 8:
-        add(Event(read_probe(in)));
+        add(Event(read_probe_ended(in)));
         break;
       case 9:
-        add(Event(read_note(in)));
+        add(Event(read_peer_message(in)));
         break;
       case 10:
         add(Kill{});
@@ -293,8 +293,8 @@
       case 11: {
         const uint32_t ref = in.u32("ref");
         const uint32_t count = in.u32("nodes_list");
-        if (ref >= kLists) in.fail("list number is out of range");
-        if (count > in.left() / kMemberBytes) in.fail("nodes_list is cut short");
+        if (ref >= kMaxLists) in.fail("list number is out of range");
+        if (count > in.remaining() / kMemberBytes) in.fail("nodes_list is cut short");
         auto list = std::make_shared<std::vector<Member>>();
         list->reserve(count);
         for (uint32_t k = 0; k < count; ++k) list->push_back(read_member(in));
@@ -308,20 +308,22 @@
         throw WireError("unknown event code " + std::to_string(code) + " at byte " + std::to_string(start));
     }
   }
-  if (in.left() > 0) in.fail("bytes left over");
+  if (in.remaining() > 0) in.fail("bytes left over");
   return out;
 }
 
-void Encoder::speaking(int instance) {
+void Encoder::begin_instance(int instance) {
   put<uint8_t>(body_, 4);
   put(body_, static_cast<uint16_t>(instance));
   ++records_;
 }
 
 void Encoder::add_actions(int instance, std::span<const Action> actions) {
-  const auto kept = [](const Action& action) { return std::holds_alternative<SaveDestinationState>(action); };
-  if (std::all_of(actions.begin(), actions.end(), kept)) return;
-  speaking(instance);
+  const auto is_internal = [](const Action& action) {
+    return std::holds_alternative<SaveDestinationState>(action);
+  };
+  if (std::all_of(actions.begin(), actions.end(), is_internal)) return;
+  begin_instance(instance);
   for (const Action& action : actions) {
     if (std::holds_alternative<SaveDestinationState>(action)) continue;  // nothing outlasts a simulated relay
     std::visit(ActionWriter{body_}, action);
@@ -330,7 +332,7 @@
 }
 
 void Encoder::add_panic(int instance, std::string_view text) {
-  speaking(instance);
+  begin_instance(instance);
   put<uint8_t>(body_, 6);
   put_text(body_, text);
   ++records_;
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -60,7 +60,7 @@
   std::string frame() const;
 
  private:
-  void speaking(int instance);
+  void begin_instance(int instance);
 
   std::string body_;
   uint32_t records_ = 0;
