--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -1,4 +1,4 @@
-// Hosts one Policy for each simulated relay and speaks the simulator's wire on standard input and output.
+// Runs one Policy per simulated relay and speaks the simulator's wire format on standard input and output.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -11,8 +11,8 @@
 namespace firspool::wire {
 namespace {
 
-constexpr size_t kReadChunkBytes =
-    1 << 20;  // read in pieces, so that a false length allocates nothing by itself
+// Frames are read in pieces, so that a wrong length alone does not allocate memory.
+constexpr size_t kReadChunkBytes = 1 << 20;
 
 bool read_exactly(std::string& out, size_t count) {
   out.clear();
@@ -33,7 +33,7 @@
  public:
   std::string handle(Time now, std::vector<InstanceEvent> events) {
     Encoder reply;
-    std::map<int, std::vector<Event>> pending;  // in the order of the instances' numbers
+    std::map<int, std::vector<Event>> pending;  // ordered by instance number
     for (InstanceEvent& item : events) {
       if (std::holds_alternative<Kill>(item.event)) {
         policies_.erase(item.instance);
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -11,7 +11,7 @@
 constexpr uint32_t kMaxLists = 16;  // host lists are numbered below this
 constexpr size_t kMaxTextBytes = 0xffff;
 
-// Reads big-endian fields and knows where it stands.
+// Reads big-endian fields and tracks the position for error messages.
 class Reader {
  public:
   Reader(std::string_view bytes, size_t origin) : bytes_(bytes), origin_(origin) {}
@@ -163,7 +163,7 @@
   out.append(text);
 }
 
-// Writes one action's code and fields.
+// Writes the code and the fields of one action.
 struct ActionWriter {
   std::string& out;
 
@@ -269,7 +269,7 @@
       case 3:
         add(Event(read_arrival(in)));
         break;
-      case 4:  // the first part of a streamed answer: outside this service type
+      case 4:  // the first part of a streamed answer: not used by this service type
         in.read_bytes(23, "first");
         break;
       case 5:
@@ -325,7 +325,7 @@
   if (std::all_of(actions.begin(), actions.end(), is_internal)) return;
   begin_instance(instance);
   for (const Action& action : actions) {
-    if (std::holds_alternative<SaveDestinationState>(action)) continue;  // nothing outlasts a simulated relay
+    if (std::holds_alternative<SaveDestinationState>(action)) continue;  // a simulated relay keeps no state
     std::visit(ActionWriter{body_}, action);
     ++records_;
   }
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -1,4 +1,4 @@
-// The simulator's wire: frames to events, actions to frames. Nothing is decided here.
+// Wire format of the simulator: decodes frames into events and encodes actions into frames.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace firspool::wire {
 
-// A frame that cannot be read; the text says what and at which byte.
+// A malformed frame; the text says what is wrong and at which byte.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -43,7 +43,7 @@
 
 Header decode_header(std::string_view bytes);
 
-// Decodes the records of batches, in order. Host lists outlive a batch, so one decoder serves one input.
+// Decodes the records of batches, in order. Host lists are used across batches, so use one decoder per input.
 class Decoder {
  public:
   std::vector<InstanceEvent> decode(const Header& header, std::string_view body);
@@ -52,7 +52,7 @@
   std::map<uint32_t, std::shared_ptr<const std::vector<Member>>> lists_;
 };
 
-// Builds one reply.
+// Builds the frame of one reply.
 class Encoder {
  public:
   void add_actions(int instance, std::span<const Action> actions);
