--- a/tests/elsewhere_test.cpp
+++ b/tests/elsewhere_test.cpp
@@ -6,24 +6,24 @@
 namespace firspool::testing {
 namespace {
 
-struct Out {  // a relay of ten whose destination has just gone out
+struct RelayInOutage {  // a relay of ten whose destination has just gone out
   Settings s = [] {
-    Settings out = plain_settings();
+    Settings out = basic_settings();
     out.relays = 10;
     return out;
   }();
   Relay relay{s};
   Time now = 0;
-  uint64_t next = 1;
+  uint64_t next_id = 1;
   std::map<uint64_t, int> attempts;
   std::vector<Event> events;  // of the next step
 
-  Out() {
+  RelayInOutage() {
     events = {members({member(1)})};
     bool out = false;
     for (; !out && now < 30 * kSecond; now += 50'000) {
-      if (now % (kSecond / 2) == 0) events.push_back(relay.message(next++, now));
-      for (const Action& action : turn()) {
+      if (now % (kSecond / 2) == 0) events.push_back(relay.message(next_id++, now));
+      for (const Action& action : step()) {
         const Log* log = std::get_if<Log>(&action);
         out = out || (log != nullptr && log->text.find("outage") != log->text.npos);
       }
@@ -31,7 +31,7 @@
     EXPECT_TRUE(out);
   }
   // One step, in which each call fails at once: the next one's events.
-  std::vector<Action> turn() {
+  std::vector<Action> step() {
     const auto actions = relay.step(now, events);
     events.clear();
     for (const Send& send : all_of<Send>(actions)) {
@@ -39,54 +39,54 @@
     }
     return actions;
   }
-  ~Out() {  // what is still held gets its end
-    for (; relay.owed() > 0 && now < 200 * kSecond; now += kSecond / 2) turn();
+  ~RelayInOutage() {  // what is still held gets its end
+    for (; relay.unanswered_count() > 0 && now < 200 * kSecond; now += kSecond / 2) step();
   }
   // How many calls go out within so many seconds.
-  int calls(int for_s) {
+  int count_calls(int for_s) {
     size_t count = 0;
     for (const Time end = now + for_s * kSecond; now < end; now += 50'000) {
-      if (now % (kSecond / 2) == 0) events.push_back(relay.message(next++, now));
-      count += all_of<Send>(turn()).size();
+      if (now % (kSecond / 2) == 0) events.push_back(relay.message(next_id++, now));
+      count += all_of<Send>(step()).size();
     }
     return static_cast<int>(count);
   }
 };
 
-TEST(Elsewhere, WhileAnotherRelayScoutsThisOneSendsNothing) {
-  Out out;
+TEST(OtherRelays, WhileAnotherRelaySendsTheTrialCallsThisOneSendsNothing) {
+  RelayInOutage out;
   out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
-  EXPECT_EQ(out.calls(10), 0);
+  EXPECT_EQ(out.count_calls(10), 0);
   out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kShared});
-  EXPECT_GT(out.calls(10), 0);
+  EXPECT_GT(out.count_calls(10), 0);
 }
 
-TEST(Elsewhere, TheOneThatScoutsForAllSendsTheWholeFleetsLeast) {
-  Out alone, owner;
+TEST(OtherRelays, TheRelayWithTheDutySendsTheWholeFleetsMinimum) {
+  RelayInOutage alone, owner;
   owner.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kSelf});
-  const int shared = alone.calls(10), all = owner.calls(10);
+  const int shared = alone.count_calls(10), all = owner.count_calls(10);
   EXPECT_GT(all, shared);
   EXPECT_LE(all, 17);  // 1.5 a second, and what was saved up
 }
 
-TEST(Elsewhere, AnOutageEndsWhereAnotherRelaysScoutWasServed) {
-  Out out;
+TEST(OtherRelays, AnOutageEndsWhenAnotherRelaysTrialCallWasServed) {
+  RelayInOutage out;
   out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
-  EXPECT_EQ(out.calls(3), 0);
+  EXPECT_EQ(out.count_calls(3), 0);
   out.events.push_back(PeerHealthReport{1, out.now - 4 * kSecond, out.now, 5});
-  EXPECT_GT(out.calls(15), 0);  // a rare caller's part of a cold destination is small
+  EXPECT_GT(out.count_calls(15), 0);  // a rare caller's part of a cold destination is small
 }
 
-TEST(Elsewhere, AReturnFromBeforeTheOwnOutageTellsNothing) {
-  Out out;
+TEST(OtherRelays, ARecoveryFromBeforeThisOutageIsIgnored) {
+  RelayInOutage out;
   out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
   out.events.push_back(PeerHealthReport{1, 1, 2, 5});
-  EXPECT_EQ(out.calls(3), 0);
+  EXPECT_EQ(out.count_calls(3), 0);
 }
 
-TEST(Elsewhere, AnOutageIsTakenOverByWhoWasServedNothingSinceAndByNobodyElse) {
+TEST(OtherRelays, AReportedOutageIsTakenOverOnlyByARelayThatWasServedNothingSince) {
   for (const bool served : {false, true}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.relays = 10;
     Relay relay(s);
     relay.step(0, {members({member(1)})});
--- a/tests/emulator/fleet_test.cpp
+++ b/tests/emulator/fleet_test.cpp
@@ -161,7 +161,8 @@
   }
   ~Checked() {
     for (const auto& [relay, checker] : checkers_) {
-      for (const std::string& fault : checker.faults()) ADD_FAILURE() << "relay " << relay << ": " << fault;
+      for (const std::string& fault : checker.violations())
+        ADD_FAILURE() << "relay " << relay << ": " << fault;
     }
   }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // A list whose destination takes so much that no guard is in the way of the bucket.
-MembersChanged unguarded(Settings& s) {
+MembersChanged list_without_rate_guards(Settings& s) {
   s.weights = Weights::kNominal;
   Member m = member(1);
   m.weight = 1e6;
@@ -26,19 +26,19 @@
 // ---- Retry bucket ----
 
 TEST(RetryBucket, ARepeatWaitsARandomPause) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   const auto first = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(first.size(), 1u);
   const auto at_once = relay.step(100'000, {ended(first[0], 0, Outcome::kError)});
   EXPECT_TRUE(all_of<Send>(at_once).empty());
-  EXPECT_EQ(all_of<Send>(relay.idle(110'000, kSecond, 10'000)).size(), 1u);
+  EXPECT_EQ(all_of<Send>(relay.run_idle(110'000, kSecond, 10'000)).size(), 1u);
 }
 
 // Calls that all fail: the bucket's first fill goes, then repeats stop while first attempts go on.
 TEST(RetryBucket, RepeatsStopWhenTheBucketIsEmpty) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.max_attempts = 2;
-  const MembersChanged list = unguarded(s);
+  const MembersChanged list = list_without_rate_guards(s);
   Relay relay(s);
   relay.step(0, {list});
   int firsts = 0;
@@ -63,14 +63,14 @@
 }
 
 TEST(RetryBucket, ServedCallsEarnATenthOfARepeat) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[0].give_up = 2 * kSecond;
-  const MembersChanged list = unguarded(s);
+  const MembersChanged list = list_without_rate_guards(s);
   Relay relay(s);
   relay.step(0, {list});
   Time now = 0;
   uint64_t id = 0;
-  const auto repeats_of_one_failure = [&] {
+  const auto retries_of_one_failure = [&] {
     const uint64_t mine = ++id;
     auto sends = all_of<Send>(relay.step(now, {relay.message(mine, now)}));
     int attempt = 0;
@@ -85,21 +85,21 @@
     return repeats;
   };
   int spent = 0;
-  for (int i = 0; i < 3; ++i) spent += repeats_of_one_failure();
+  for (int i = 0; i < 3; ++i) spent += retries_of_one_failure();
   EXPECT_EQ(spent, 10);  // the first fill
   for (int i = 0; i < 10; ++i) now = serve_one(relay, ++id, now);
-  EXPECT_EQ(repeats_of_one_failure(), 1);
+  EXPECT_EQ(retries_of_one_failure(), 1);
 }
 
 // A rare caller earns a tenth of a token in minutes: what waits for one is given back, with its client still
 // in time to go elsewhere. Where calls are served often it waits, as a token is near.
-TEST(RetryBucket, ARepeatThatEarnsNoTokenInItsTimeIsGivenBack) {
+TEST(RetryBucket, ARetryThatEarnsNoTokenInItsTimeIsRefused) {
   for (const auto& [often, outcome] :
        {std::pair(false, Outcome::kRefused), std::pair(true, Outcome::kRefused),
         std::pair(false, Outcome::kError)}) {
-    Settings s = plain_settings();
+    Settings s = basic_settings();
     s.max_attempts = 30;
-    const MembersChanged list = unguarded(s);
+    const MembersChanged list = list_without_rate_guards(s);
     Relay relay(s);
     relay.step(0, {list});
     Time now = 0;
@@ -124,18 +124,18 @@
     }
     EXPECT_EQ(attempt, 11);  // one, and the bucket's ten
     EXPECT_EQ(refused.size(), often || outcome == Outcome::kError ? 0u : 1u);
-    relay.idle(now + 10'000, now + 30 * kSecond);
+    relay.run_idle(now + 10'000, now + 30 * kSecond);
   }
 }
 
 // ---- Promises of a class ----
 
-TEST(Promises, UnsafeIsRepeatedOnlyAfterProofThatItNeverRan) {
-  Relay relay(plain_settings());
+TEST(Promises, UnsafeIsRetriedOnlyAfterProofThatItWasNotExecuted) {
+  Relay relay(basic_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0, 1)}));
   ASSERT_EQ(sends.size(), 1u);
   relay.step(100'000, {ended(sends[0], 0, Outcome::kConnectFailed)});
-  const auto again = all_of<Send>(relay.idle(110'000, kSecond));
+  const auto again = all_of<Send>(relay.run_idle(110'000, kSecond));
   ASSERT_EQ(again.size(), 1u);
   const auto after = relay.step(kSecond + 100'000, {ended(again[0], 1, Outcome::kReset)});
   EXPECT_EQ(all_of<Fail>(after).size(), 1u);
@@ -143,7 +143,7 @@
 }
 
 TEST(Promises, KeyedStaysInItsGroupAndWindow) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].key_scope = KeyScope::kZone;
   s.classes[0].key_window = 3 * kSecond;
@@ -153,7 +153,7 @@
   const auto first = all_of<Send>(relay.step(0, {members({member(1), other}), relay.message(7, 0)}));
   ASSERT_EQ(first.size(), 1u);
   relay.step(kSecond, {ended(first[0], 0, Outcome::kTimeout, kSecond)});
-  const auto second = all_of<Send>(relay.idle(kSecond, 2 * kSecond));
+  const auto second = all_of<Send>(relay.run_idle(kSecond, 2 * kSecond));
   ASSERT_EQ(second.size(), 1u);
   EXPECT_EQ(second[0].endpoint, first[0].endpoint);
   const auto after = relay.step(3 * kSecond, {ended(second[0], 1, Outcome::kTimeout, kSecond)});
@@ -161,7 +161,7 @@
 }
 
 TEST(Promises, MessagesOfAKeyGoInTurn) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[0].in_order = true;
   s.in_order_pause = kSecond;
   Relay relay(s);
@@ -177,7 +177,7 @@
 }
 
 TEST(Promises, AWithdrawnMessageKeepsItsTurnWhileItsCallIsOut) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[0].in_order = true;
   Relay relay(s);
   Arrival a = relay.message(1, 0);
@@ -189,35 +189,35 @@
 }
 
 TEST(Promises, EveryMessageIsAnsweredInTime) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   relay.step(0, {relay.message(1, 0), relay.message(2, 0, 1)});  // no endpoint is ever listed
-  relay.idle(0, 20 * kSecond);
-  EXPECT_EQ(relay.owed(), 0u);
+  relay.run_idle(0, 20 * kSecond);
+  EXPECT_EQ(relay.unanswered_count(), 0u);
 }
 
 // ---- Waits, drains, slots ----
 
 TEST(Waits, HoldTheWholeDestinationWhereTheLimitIsShared) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   const auto first = all_of<Send>(relay.step(0, {members({member(1), member(2)}), relay.message(1, 0)}));
   relay.step(100'000,
              {ended(first.at(0), 0, Outcome::kRefused, 100'000, 2 * kSecond), relay.message(2, 100'000)});
-  EXPECT_TRUE(all_of<Send>(relay.idle(110'000, 2'000'000)).empty());
-  EXPECT_FALSE(all_of<Send>(relay.idle(2'010'000, 4 * kSecond)).empty());
+  EXPECT_TRUE(all_of<Send>(relay.run_idle(110'000, 2'000'000)).empty());
+  EXPECT_FALSE(all_of<Send>(relay.run_idle(2'010'000, 4 * kSecond)).empty());
 }
 
-TEST(Waits, HoldOneRouteWhereRoutesAreApart) {
-  Relay relay(plain_settings());
+TEST(Waits, HoldOneRouteWhereEndpointsAreIndependent) {
+  Relay relay(basic_settings());
   const auto first =
       all_of<Send>(relay.step(0, {members({member(1, 1, 1), member(2, 1, 1)}), relay.message(1, 0)}));
   relay.step(100'000, {ended(first.at(0), 0, Outcome::kRefused, 100'000, 5 * kSecond)});
-  const auto again = all_of<Send>(relay.idle(110'000, kSecond));
+  const auto again = all_of<Send>(relay.run_idle(110'000, kSecond));
   ASSERT_EQ(again.size(), 1u);
   EXPECT_NE(again[0].endpoint, first[0].endpoint);
 }
 
 TEST(Drains, NothingNewGoesToADrainingEndpoint) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   relay.step(0, {members({member(1), member(2)})});
   relay.step(10'000, {members({member(1, 1, 0, HostState::kDraining)}, MembersChanged::Form::kDelta)});
   for (uint64_t id = 1; id <= 5; ++id) {
@@ -229,7 +229,7 @@
 }
 
 TEST(SlotShare, OneDestinationLeavesSlotsToOthersThatWait) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   std::vector<Event> events = {members({member(1, 1), member(2, 2)})};
   for (uint64_t id = 1; id <= 20; ++id) events.push_back(relay.message(id, 0, 0, 1));
   for (uint64_t id = 21; id <= 24; ++id) events.push_back(relay.message(id, 0, 0, 2));
@@ -239,14 +239,14 @@
 }
 
 TEST(SlotShare, BindsOnlyWhileOthersWait) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   std::vector<Event> events = {members({member(1, 1)})};
   for (uint64_t id = 1; id <= 20; ++id) events.push_back(relay.message(id, 0));
   EXPECT_EQ(all_of<Send>(relay.step(0, events)).size(), 8u);
 }
 
 TEST(Batches, MessagesToOneEndpointShareACall) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.kinds[0].max_batch = 5;
   s.slots = 1;
   Relay relay(s);
@@ -259,8 +259,8 @@
   EXPECT_EQ(all_of<Send>(relay.step(100'000, answers)).size(), 2u);
 }
 
-TEST(Shedding, TheLeastWorthIsGivenBackWhenRoomRunsOut) {
-  Settings s = plain_settings();
+TEST(Shedding, TheLeastWorthIsRefusedWhenCapacityRunsOut) {
+  Settings s = basic_settings();
   s.max_open = 10;
   s.classes[1].worth = 5;
   Relay relay(s);
@@ -273,7 +273,7 @@
 
 // A tenant's quota counts when its messages were handed in: given back by a restart they come at one moment.
 TEST(Shedding, ARestartLeavesATenantWithinItsQuotaItsWorth) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.max_open = 20;
   s.slots = 1;
   s.tenants = {{"steady", 2}, {"flood", 1}};
@@ -281,15 +281,15 @@
   Relay relay(s);
   std::vector<Event> events = {members({member(1)})};
   const Time now = 100 * kSecond;
-  const auto hand_in = [&](uint64_t id, int tenant, Time handed) {
-    Arrival a = relay.message(id, handed);
+  const auto submit = [&](uint64_t id, int tenant, Time submitted) {
+    Arrival a = relay.message(id, submitted);
     a.tenant = tenant;
     events.push_back(a);
   };
   // Ten of `steady` within its 2 a second, ten of `flood` all in one second, where it has 1.
   for (uint64_t i = 0; i < 10; ++i) {
-    hand_in(1 + i, 0, now - 6 * kSecond + static_cast<Time>(i) * 500'000);
-    hand_in(101 + i, 1, now - kSecond + static_cast<Time>(i) * 100'000);
+    submit(1 + i, 0, now - 6 * kSecond + static_cast<Time>(i) * 500'000);
+    submit(101 + i, 1, now - kSecond + static_cast<Time>(i) * 100'000);
   }
   const auto refused = all_of<Refuse>(relay.step(now, events));
   ASSERT_EQ(refused.size(), 2u);
@@ -308,7 +308,7 @@
 
 // A hang: no outcome tells of it, calls only grow old. First attempts are held after a few.
 TEST(Outages, AHangIsSeenByOverdueCalls) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.slots = 100;
   Relay relay(s);
   uint64_t id = 0;
@@ -321,8 +321,8 @@
 }
 
 // After an outage the relay's own sends stay under its part of the fail-back budget, queue or not.
-TEST(Outages, AQueueIsNotLetGoAtOnceOnReturn) {
-  Settings s = plain_settings();
+TEST(Outages, QueuedMessagesAreNotAllSentAtOnceOnRecovery) {
+  Settings s = basic_settings();
   s.slots = 100;
   Relay relay(s);
   uint64_t id = 0;
@@ -357,30 +357,30 @@
 
 // A host that is being replaced turns calls away before the list says so: its destination was never out, and
 // its new host gets what is waiting at once. Where a host that stays failed too, the outage stands.
-TEST(Outages, WhatAHostOnItsWayOutTurnedAwayIsNoOutageOfItsDestination) {
+TEST(Outages, RefusalsOfAHostBeingRemovedAreNoOutageOfItsDestination) {
   for (const bool other_failed : {false, true}) {
-    Relay relay(plain_settings());
+    Relay relay(basic_settings());
     uint64_t id = 0;
     Time now = warm_up(relay, id);  // at host 1
     std::vector<Event> events;
     if (other_failed) events.push_back(members({member(1), member(2)}));
     std::map<uint64_t, int> attempts;
     bool out = false;
-    std::set<uint32_t> met;
+    std::set<uint32_t> hosts_called;
     for (const Time end = now + 6 * kSecond; now < end; now += 100'000) {
       if (now < end - 2 * kSecond) events.push_back(relay.message(++id, now));
       const auto actions = relay.step(now, events);
       events.clear();
       for (const Log& line : all_of<Log>(actions)) out |= line.text.find("outage") != std::string::npos;
       for (const Send& send : all_of<Send>(actions)) {
-        met.insert(send.endpoint.address);
+        hosts_called.insert(send.endpoint.address);
         const Outcome outcome = other_failed ? Outcome::kConnectFailed : Outcome::kRefused;
         events.push_back(ended(send, attempts[send.id]++, outcome));
       }
     }
     relay.step(now, events);
     ASSERT_TRUE(out);
-    ASSERT_EQ(met.size(), other_failed ? 2u : 1u);
+    ASSERT_EQ(hosts_called.size(), other_failed ? 2u : 1u);
     const std::vector<Member> list = {member(1, 1, 0, HostState::kDraining), member(3)};
     auto sends = all_of<Send>(relay.step(now + 500'000, {members(list, MembersChanged::Form::kDelta)}));
     if (other_failed) {
@@ -394,15 +394,15 @@
 
 // What was learned of a limit before outlasts a host that fails on its way out: its failures are taken back,
 // not the pace from before them.
-TEST(Outages, AHostThatLeavesTakesNoPaceAwayThatWasLearnedBefore) {
-  Settings s = plain_settings();
+TEST(Outages, ARemovedHostLeavesThePacingRateLearnedBefore) {
+  Settings s = basic_settings();
   s.slots = 100;
   Relay relay(s);
   uint64_t id = 0;
   Time now = warm_up(relay, id);
   std::vector<Event> events;
   std::map<uint64_t, int> attempts;
-  const auto play = [&](Time length, Outcome outcome) {
+  const auto run_with_outcome = [&](Time length, Outcome outcome) {
     for (const Time end = now + length; now < end; now += 100'000) {
       events.push_back(relay.message(++id, now));
       const auto sends = all_of<Send>(relay.step(now, events));
@@ -410,9 +410,9 @@
       for (const Send& send : sends) events.push_back(ended(send, attempts[send.id]++, outcome));
     }
   };
-  play(kSecond, Outcome::kRefused);  // a limit
-  play(3 * kSecond, Outcome::kOk);
-  play(kSecond, Outcome::kConnectFailed);  // the host is gone, and the list has yet to say so
+  run_with_outcome(kSecond, Outcome::kRefused);  // a limit
+  run_with_outcome(3 * kSecond, Outcome::kOk);
+  run_with_outcome(kSecond, Outcome::kConnectFailed);  // the host is gone, and the list has yet to say so
   relay.step(now, events);
   const std::vector<Member> list = {member(1, 1, 0, HostState::kRemoved), member(3)};
   const auto sends = all_of<Send>(relay.step(now + kSecond, {members(list, MembersChanged::Form::kDelta)}));
@@ -421,8 +421,8 @@
 }
 
 // A few lost answers among served calls are not an outage: first attempts go on.
-TEST(Outages, LostAnswersAmongServedCallsHoldNothing) {
-  Settings s = plain_settings();
+TEST(Outages, LostAnswersAmongServedCallsHoldNothingBack) {
+  Settings s = basic_settings();
   s.slots = 100;
   Relay relay(s);
   uint64_t id = 0;
@@ -455,8 +455,8 @@
   return open;
 }
 
-TEST(Outages, LostAnswersGiveTheirSlotsBackWhenOthersWait) {
-  Settings s = plain_settings();
+TEST(Outages, LostAnswersFreeTheirSlotsWhenOthersWait) {
+  Settings s = basic_settings();
   s.slots = 2;
   s.may_cancel = true;
   Relay relay(s);
@@ -470,7 +470,7 @@
 }
 
 TEST(Outages, SlowCallsKeepTheirSlots) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.slots = 2;
   s.may_cancel = true;
   Relay relay(s);
@@ -482,8 +482,8 @@
 
 // Scouts burn messages whose repeats find the bucket empty: where probes are allowed one goes ahead of each
 // scout.
-TEST(Outages, AProbeGoesAheadOfAScout) {
-  Settings s = plain_settings();
+TEST(Outages, AProbePrecedesATrialCall) {
+  Settings s = basic_settings();
   s.slots = 100;
   s.may_probe = true;
   Relay relay(s);
@@ -513,15 +513,15 @@
 }
 
 // A slow answer to a suspected call ends the suspicion, without a ramp.
-TEST(Outages, SlowCallsEndASuspicion) {
-  Settings s = plain_settings();
+TEST(Outages, SlowCallsEndASuspectedOutage) {
+  Settings s = basic_settings();
   s.slots = 100;
   Relay relay(s);
   uint64_t id = 0;
   Time now = warm_up(relay, id);
   std::vector<Send> slow;
   for (int i = 0; i < 3; ++i) slow.push_back(all_of<Send>(relay.step(now, {relay.message(++id, now)})).at(0));
-  const auto logs = all_of<Log>(relay.idle(now, now + kSecond));
+  const auto logs = all_of<Log>(relay.run_idle(now, now + kSecond));
   ASSERT_FALSE(logs.empty());
   EXPECT_NE(logs[0].text.find("calls overdue"), std::string::npos);
   now += kSecond + 100'000;
@@ -532,8 +532,8 @@
 }
 
 // Refused by a limit shared with other relays: the own pace goes down, and it is not taken for an outage.
-TEST(Limits, RefusalsSlowTheOwnPace) {
-  Settings s = plain_settings();
+TEST(Limits, RefusalsReduceThePacingRate) {
+  Settings s = basic_settings();
   s.weights = Weights::kNominal;
   s.relays = 2;
   Relay relay(s);
@@ -562,8 +562,8 @@
 
 // Counts the attempts of a relay, fresh at the start, that calls a dead destination every so often for some
 // time.
-int attempts_on_a_dead_destination(Time every, Time until, int relays = 3) {
-  Settings s = plain_settings();
+int attempts_on_a_dead_destination(Time interval, Time until, int relays = 3) {
+  Settings s = basic_settings();
   s.relays = relays;
   s.weights = Weights::kNominal;
   Relay relay(s);
@@ -575,7 +575,7 @@
   uint64_t id = 0;
   int count = 0;
   for (Time t = 0; t < until; t += 50'000) {
-    if (t % every == 0) events.push_back(relay.message(++id, t));
+    if (t % interval == 0) events.push_back(relay.message(++id, t));
     const auto sends = all_of<Send>(relay.step(t, events));
     events.clear();
     for (const Send& send : sends)
@@ -586,12 +586,12 @@
 }
 
 // A rare caller earns nothing from a dead destination: beyond the first fill there are no repeats.
-TEST(ExpectedTrouble, ARareCallerRepeatsNoMoreThanItsFirstFill) {
+TEST(ExpectedTrouble, ARareCallerRetriesNoMoreThanItsInitialTokens) {
   EXPECT_LE(attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond), 30 + 10);
 }
 
 // A restarted relay has a full bucket, but sees the outage in three calls and then only scouts.
-TEST(ExpectedTrouble, ARestartedRelaySoonOnlyScouts) {
+TEST(ExpectedTrouble, ARestartedRelaySoonSendsOnlyTrialCalls) {
   EXPECT_LE(attempts_on_a_dead_destination(100'000, 10 * kSecond), 10 + 10 + 10);  // of a hundred messages
 }
 
@@ -599,7 +599,7 @@
 
 // An even part of a limit is a call a minute at 300 relays: nothing is held back before a refusal.
 TEST(Fleet, ARareCallerIsServedAtOnce) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.relays = 300;
   s.weights = Weights::kNominal;
   Relay relay(s);
@@ -610,7 +610,7 @@
 }
 
 // Scouts are counted for the fleet: one relay of 300 sends far fewer than one of three.
-TEST(Fleet, ScoutsOfManyRelaysAddUpToFew) {
+TEST(Fleet, TrialCallsOfManyRelaysAddUpToFew) {
   const int few = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 3);
   const int many = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 300);
   EXPECT_LT(many, few / 2);
@@ -618,22 +618,23 @@
 }
 
 // All relays are told the same end of a wait: a return begins there, and what they hold does not go at once.
-TEST(Fleet, ALongToldWaitBeginsAReturn) {
-  Settings s = plain_settings();
+TEST(Fleet, ALongRequestedWaitStartsARecovery) {
+  Settings s = basic_settings();
   s.relays = 300;
   Relay relay(s);
   const auto first = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(1, 0)}));
   ASSERT_EQ(first.size(), 1u);
   relay.step(50'000, {ended(first[0], 0, Outcome::kRefused, 50'000, 5000'000), relay.message(2, 50'000)});
-  EXPECT_TRUE(all_of<Send>(relay.idle(60'000, 6 * kSecond)).empty());
-  EXPECT_FALSE(all_of<Send>(relay.idle(6 * kSecond, 19 * kSecond)).empty());  // warm before the messages end
+  EXPECT_TRUE(all_of<Send>(relay.run_idle(60'000, 6 * kSecond)).empty());
+  EXPECT_FALSE(
+      all_of<Send>(relay.run_idle(6 * kSecond, 19 * kSecond)).empty());  // warm before the messages end
 }
 
 // ---- Connections ----
 
 // Calls on connections that idled long are lost, on fresh ones served: the next call opens a fresh one.
 TEST(Connections, IdleOnesThatWereDroppedUnseenAreNotUsedAgain) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   relay.step(0, {members({member(1)})});
   Time now = kSecond;
   uint64_t id = 0;
@@ -656,7 +657,7 @@
 
 // Most calls go on idle connections, so most that a hang swallows do; another destination's stay in use.
 TEST(Connections, IdleOnesOutliveAHangElsewhere) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   std::vector<Member> list;
   for (int d = 1; d <= 5; ++d) {
     list.push_back(member(static_cast<uint32_t>(d)));
@@ -694,7 +695,7 @@
 
 // A crashed destination takes no connection either, and is served again later: that is no full table.
 TEST(Connections, IdleOnesOutliveACrashElsewhere) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   Member other = member(2);
   other.destination = 2;
   uint64_t id = 0;
@@ -723,7 +724,7 @@
 
 // An endpoint takes few connections: where calls get none, idle ones are given back after each call.
 TEST(Connections, IdleOnesAreReleasedWhileTablesAreFull) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   uint64_t id = 0;
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(++id, 0)}));
   ASSERT_EQ(sends.size(), 1u);
@@ -740,7 +741,7 @@
 
 // An unsafe call keeps no slot for its whole life: lost answers would fill the slots one by one.
 TEST(Outages, UnsafeCallsAreBoundedToo) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   uint64_t id = 0;
   const Time now = warm_up(relay, id);
   const auto sends = all_of<Send>(relay.step(now, {relay.message(++id, now, 1)}));
@@ -750,8 +751,8 @@
 
 // ---- The list ----
 
-TEST(List, AskingIsRenewedAfterAFailure) {
-  Settings s = plain_settings();
+TEST(List, TheWatchIsReopenedAfterAFailure) {
+  Settings s = basic_settings();
   s.list_requires_watch = true;
   s.list_request_interval = 10 * kSecond;
   Relay relay(s);
@@ -759,13 +760,14 @@
   MembersChanged failed;
   failed.form = MembersChanged::Form::kFailed;
   EXPECT_TRUE(all_of<WatchList>(relay.step(100'000, {failed})).empty());
-  EXPECT_EQ(all_of<WatchList>(relay.idle(150'000, 6 * kSecond)).size(), 1u);
+  EXPECT_EQ(all_of<WatchList>(relay.run_idle(150'000, 6 * kSecond)).size(), 1u);
 }
 
 // ---- Restarts ----
 
 // A policy that has just been started anew and is told of one message from before.
-std::vector<Action> resumed(const Settings& s, int message_class, int attempts, bool ran, Time since) {
+std::vector<Action> actions_after_resume(const Settings& s, int message_class, int attempts, bool ran,
+                                         Time since) {
   Policy policy(s, 1);
   Arrival in;
   in.id = 1;
@@ -781,32 +783,33 @@
 }
 
 TEST(Restart, ResumedMessagesKeepTheirClassesRules) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[2].effect = Effect::kKeyed;
   s.classes[2].key_window = 5 * kSecond;
-  EXPECT_EQ(all_of<Send>(resumed(s, 0, 1, true, kSecond)).size(), 1u);
-  EXPECT_EQ(all_of<Fail>(resumed(s, 1, 1, true, kSecond)).size(), 1u);
-  EXPECT_EQ(all_of<Send>(resumed(s, 1, 1, false, 0)).size(), 1u);
-  EXPECT_EQ(all_of<Send>(resumed(s, 2, 1, true, kSecond)).size(), 1u);
-  EXPECT_EQ(all_of<Fail>(resumed(s, 2, 1, true, 6 * kSecond)).size(), 1u);        // and not refused
-  EXPECT_EQ(all_of<Refuse>(resumed(s, 0, s.max_attempts, false, 0)).size(), 1u);  // attempts count on
+  EXPECT_EQ(all_of<Send>(actions_after_resume(s, 0, 1, true, kSecond)).size(), 1u);
+  EXPECT_EQ(all_of<Fail>(actions_after_resume(s, 1, 1, true, kSecond)).size(), 1u);
+  EXPECT_EQ(all_of<Send>(actions_after_resume(s, 1, 1, false, 0)).size(), 1u);
+  EXPECT_EQ(all_of<Send>(actions_after_resume(s, 2, 1, true, kSecond)).size(), 1u);
+  EXPECT_EQ(all_of<Fail>(actions_after_resume(s, 2, 1, true, 6 * kSecond)).size(), 1u);  // and not refused
+  EXPECT_EQ(all_of<Refuse>(actions_after_resume(s, 0, s.max_attempts, false, 0)).size(),
+            1u);  // attempts count on
 }
 
 TEST(Restart, AttemptNumbersGoOn) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   Arrival in = relay.message(1, 0);
   in.attempts = 2;
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), in}));
   ASSERT_EQ(sends.size(), 1u);
   relay.step(kSecond, {ended(sends[0], 0, Outcome::kError)});  // none of its numbers: passed over
-  EXPECT_TRUE(all_of<Send>(relay.idle(kSecond, 2 * kSecond)).empty());
+  EXPECT_TRUE(all_of<Send>(relay.run_idle(kSecond, 2 * kSecond)).empty());
   relay.step(2 * kSecond, {ended(sends[0], 2, Outcome::kOk)});
 }
 
 // Without it a restarted relay would send all that it resumed at once to a destination that is down or cold.
-TEST(Restart, OutagesAndBucketsAreRemembered) {
-  const Settings s = plain_settings();
+TEST(Restart, OutagesAndRetryTokensAreSaved) {
+  const Settings s = basic_settings();
   DestinationState last;
   Policy before(s, 1);
   std::vector<Action> actions;
@@ -819,7 +822,7 @@
     std::vector<Event> failed;
     for (const Send& send : all_of<Send>(actions)) failed.push_back(ended(send, 0, Outcome::kConnectFailed));
     before.step(now + 1000, failed, actions);
-    for (const SaveDestinationState& word : all_of<SaveDestinationState>(actions)) last = word.state;
+    for (const SaveDestinationState& saved : all_of<SaveDestinationState>(actions)) last = saved.state;
   }
   EXPECT_NE(last.outage_start, 0);
   const auto sends = [&](std::vector<Event> events) {
@@ -836,8 +839,8 @@
 
 // What was held for the pace would all go in the first moment after a restart: in a fleet's model two relays
 // sent twelve calls so to a destination that had just come back cold.
-TEST(Restart, ThePaceThatRefusalsTaughtIsRemembered) {
-  const Settings s = plain_settings();
+TEST(Restart, ThePacingRateLearnedFromRefusalsIsSaved) {
+  const Settings s = basic_settings();
   DestinationState last;
   Policy before(s, 1);
   std::vector<Action> actions;
@@ -850,7 +853,7 @@
     std::vector<Event> refused;
     for (const Send& send : all_of<Send>(actions)) refused.push_back(ended(send, 0, Outcome::kRefused));
     before.step(now + 1000, refused, actions);
-    for (const SaveDestinationState& word : all_of<SaveDestinationState>(actions)) last = word.state;
+    for (const SaveDestinationState& saved : all_of<SaveDestinationState>(actions)) last = saved.state;
   }
   EXPECT_GT(last.pacing_rate, 0);
   last.outage_start = 0;  // the pace alone
@@ -867,8 +870,8 @@
 }
 
 // A rare caller that was refused before the restart would not call for a quarter of a minute otherwise.
-TEST(Restart, ThePaceThatIsKeptIsNoLessThanTheEvenPartOfTheToldLimit) {
-  Settings s = plain_settings();
+TEST(Restart, TheSavedPacingRateIsAtLeastTheEvenShareOfTheListedLimit) {
+  Settings s = basic_settings();
   s.weights = Weights::kNominal;
   s.relays = 4;
   Policy policy(s, 1);
@@ -893,8 +896,8 @@
 }
 
 // It changes with each served call: a record for each would be one for each message.
-TEST(Restart, ThePaceIsRememberedInSteps) {
-  const Settings s = plain_settings();
+TEST(Restart, ThePacingRateIsSavedInSteps) {
+  const Settings s = basic_settings();
   Policy policy(s, 1);
   std::vector<Action> actions;
   policy.step(0, std::vector<Event>{members({member(1)}), DestinationState{1, 100, 0, 0, 0, 0.5}}, actions);
@@ -914,8 +917,8 @@
   EXPECT_LT(records, 30u);
 }
 
-TEST(Restart, ABucketSpentStaysSpent) {
-  const Settings s = plain_settings();
+TEST(Restart, SpentRetryTokensStaySpent) {
+  const Settings s = basic_settings();
   Policy policy(s, 1);
   Arrival in;
   in.id = 1;
@@ -929,16 +932,16 @@
 
 // A connection that comes up late must not carry a keyed repeat past the time that its key is remembered.
 TEST(Restart, AKeyedRepeatSaysWhenItMustHaveStarted) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].key_window = 5 * kSecond;
-  const auto sends = all_of<Send>(resumed(s, 0, 1, true, kSecond));
+  const auto sends = all_of<Send>(actions_after_resume(s, 0, 1, true, kSecond));
   ASSERT_EQ(sends.size(), 1u);
   EXPECT_LT(sends[0].start_by, 104 * kSecond);
 }
 
 TEST(Restart, NoCallStartsThatMayNotBeOverBeforeTheEnd) {
-  Relay relay(plain_settings());
+  Relay relay(basic_settings());
   relay.step(0, {members({member(1)}), ShutdownScheduled{4 * kSecond}});
   EXPECT_EQ(all_of<Send>(relay.step(kSecond, {relay.message(1, kSecond)})).size(), 1u);
   EXPECT_TRUE(all_of<Send>(relay.step(3'900'000, {relay.message(2, 3'900'000)})).empty());
@@ -946,8 +949,8 @@
 
 // ---- Wrong use ----
 
-TEST(WrongUse, IsTold) {
-  const Settings s = plain_settings();
+TEST(WrongUse, Throws) {
+  const Settings s = basic_settings();
   Policy policy(s, 1);
   std::vector<Action> actions;
   Arrival arrival;
@@ -962,8 +965,8 @@
   EXPECT_THROW(Policy(Settings{}, 1), std::invalid_argument);
 }
 
-TEST(WrongUse, WhatIsNotHeldIsPassedOver) {
-  Relay relay(plain_settings());
+TEST(WrongUse, UnknownIdsAreIgnored) {
+  Relay relay(basic_settings());
   relay.step(0, {members({member(1)}), Withdrawn{99}, TimerFired{5}, PeerMessage{1, "x"},
                  ended(Send{98, {1, 80}, 0}, 0, Outcome::kOk), ProbeEnded{{9, 9}, true, 0, {}}});
 }
@@ -971,15 +974,15 @@
 // ---- Hosts that go ----
 
 // It is forgotten only once nothing is out on it: a late outcome still ends its message.
-TEST(Leaving, ALateOutcomeOfAGoneHostEndsItsMessage) {
-  Relay relay(plain_settings());
+TEST(RemovedHosts, ALateOutcomeOfARemovedHostEndsItsMessage) {
+  Relay relay(basic_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(sends.size(), 1u);
   relay.step(10'000,
              {members({member(1, 1, 0, HostState::kRemoved), member(2)}, MembersChanged::Form::kDelta)});
   relay.step(20'000, {members({member(1, 1, 0, HostState::kRemoved)}, MembersChanged::Form::kDelta)});
   relay.step(100'000, {ended(sends[0], 0, Outcome::kOk)});
-  EXPECT_EQ(relay.owed(), 0u);
+  EXPECT_EQ(relay.unanswered_count(), 0u);
   const auto next = all_of<Send>(relay.step(200'000, {relay.message(8, 200'000)}));
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].endpoint, (Endpoint{2, 80}));
@@ -988,8 +991,8 @@
 // ---- Spoilt answers ----
 
 // They come from any host alike: they end hope for an unsafe message, and say nothing of the host.
-TEST(Spoilt, MayHaveRunAndIsNoSignOfAnOutage) {
-  Relay relay(plain_settings());
+TEST(MalformedAnswers, MayHaveBeenExecutedAndAreNoSignOfAnOutage) {
+  Relay relay(basic_settings());
   relay.step(0, {members({member(1)})});
   Time now = 0;
   for (uint64_t id = 1; id <= 20; ++id) {
@@ -1003,26 +1006,26 @@
 }
 
 // The head of an answer told to wait, and the rest of it never came.
-TEST(Spoilt, AWaitThatItTellsIsKept) {
-  Relay relay(plain_settings());
+TEST(MalformedAnswers, TheirRequestedWaitIsKept) {
+  Relay relay(basic_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(sends.size(), 1u);
   relay.step(50'000, {ended(sends[0], 0, Outcome::kMalformed, 50'000, 5 * kSecond)});
   EXPECT_TRUE(all_of<Send>(relay.step(60'000, {relay.message(8, 60'000)})).empty());
-  EXPECT_TRUE(all_of<Send>(relay.idle(100'000, 5 * kSecond)).empty());
-  EXPECT_FALSE(all_of<Send>(relay.idle(5 * kSecond, 6 * kSecond)).empty());
+  EXPECT_TRUE(all_of<Send>(relay.run_idle(100'000, 5 * kSecond)).empty());
+  EXPECT_FALSE(all_of<Send>(relay.run_idle(5 * kSecond, 6 * kSecond)).empty());
 }
 
 // ---- Refusals ----
 
-TEST(Refusals, SayWhenToComeAgain) {
-  Settings s = plain_settings();
+TEST(Refusals, CarryARetryAfterTime) {
+  Settings s = basic_settings();
   s.max_retry_after = kSecond;
   Relay relay(s);
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(sends.size(), 1u);
   relay.step(50'000, {ended(sends[0], 0, Outcome::kRefused, 50'000, 30 * kSecond)});
-  const auto refused = all_of<Refuse>(relay.idle(100'000, 21 * kSecond));
+  const auto refused = all_of<Refuse>(relay.run_idle(100'000, 21 * kSecond));
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_GT(refused[0].retry_after, 0);
   EXPECT_LE(refused[0].retry_after, kSecond);
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 Settings random_settings(uint64_t seed) {
-  Settings s = plain_settings();
+  Settings s = basic_settings();
   s.classes.resize(4);
   s.classes[2] = s.classes[0];
   s.classes[2].effect = Effect::kKeyed;
@@ -32,9 +32,10 @@
   return s;
 }
 
-class World {
+class RandomRun {
  public:
-  explicit World(uint64_t seed) : random_(seed), settings_(random_settings(seed)), relay_(settings_, seed) {
+  explicit RandomRun(uint64_t seed)
+      : random_(seed), settings_(random_settings(seed)), relay_(settings_, seed) {
     for (uint32_t address = 1; address <= 9; ++address) {
       Member m = member(address, static_cast<int>(address % 3), static_cast<int>(address % 3 == 0));
       m.zone = static_cast<int>(address % 2);
@@ -48,15 +49,15 @@
     for (now_ = kSecond; now_ < 40 * kSecond; now_ += settings_.tick) {
       if (now_ < 15 * kSecond) add_arrivals(events);
       add_outcomes(events);
-      add_rest(events);
-      if (!events.empty() || now_ >= wake_) take(relay_.step(now_, events));
+      add_other_events(events);
+      if (!events.empty() || now_ >= next_wake_) apply_actions(relay_.step(now_, events));
       events.clear();
     }
-    EXPECT_EQ(relay_.owed(), 0u);
+    EXPECT_EQ(relay_.unanswered_count(), 0u);
   }
 
  private:
-  struct Out {
+  struct CallInFlight {
     Send send;
     int attempt = 0;
     Time at = 0;
@@ -65,10 +66,10 @@
   };
 
   bool chance(double share) { return static_cast<double>(random_() % 100000) < share * 100000; }
-  Time up_to(Time most) { return static_cast<Time>(random_() % static_cast<uint64_t>(most)) + 1; }
+  Time random_time(Time max) { return static_cast<Time>(random_() % static_cast<uint64_t>(max)) + 1; }
 
   void add_arrivals(std::vector<Event>& events) {
-    while (relay_.owed() + events.size() < 50 && chance(0.1)) {
+    while (relay_.unanswered_count() + events.size() < 50 && chance(0.1)) {
       Arrival a =
           relay_.message(++last_id_, now_, static_cast<int>(random_() % 4), static_cast<int>(random_() % 3));
       if (a.message_class == 3) a.key = 1 + random_() % 4;
@@ -77,20 +78,21 @@
   }
 
   void add_outcomes(std::vector<Event>& events) {
-    std::vector<Out> later;
-    for (const Out& out : out_) {
+    std::vector<CallInFlight> later;
+    for (const CallInFlight& out : calls_in_flight_) {
       if (out.at > now_) {
         later.push_back(out);
         continue;
       }
-      const Time wait = out.outcome == Outcome::kRefused && chance(0.5) ? up_to(2 * kSecond) : 0;
+      const Time wait = out.outcome == Outcome::kRefused && chance(0.5) ? random_time(2 * kSecond) : 0;
       events.push_back(ended(out.send, out.attempt, out.outcome, now_ - out.sent, wait));
     }
-    out_ = std::move(later);
+    calls_in_flight_ = std::move(later);
   }
 
-  void add_rest(std::vector<Event>& events) {
-    if (chance(0.002)) bad_ = static_cast<int>(random_() % 4);  // the destination that does badly; 3: none
+  void add_other_events(std::vector<Event>& events) {
+    if (chance(0.002))
+      failing_destination_ = static_cast<int>(random_() % 4);  // the destination that does badly; 3: none
     if (chance(0.002)) {
       Member& m = members_[random_() % members_.size()];
       m.state = m.state == HostState::kReady ? HostState::kDraining : HostState::kReady;
@@ -106,25 +108,25 @@
     probes_.clear();
   }
 
-  void take(const std::vector<Action>& actions) {
-    wake_ = std::numeric_limits<Time>::max();
+  void apply_actions(const std::vector<Action>& actions) {
+    next_wake_ = std::numeric_limits<Time>::max();
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
-        Out out = {*send, attempts_[send->id]++, 0, now_, Outcome::kOk};
+        CallInFlight out = {*send, attempts_[send->id]++, 0, now_, Outcome::kOk};
         const int destination = static_cast<int>(send->endpoint.address % 3);
-        if (chance(destination == bad_ ? 0.9 : 0.05)) {
-          constexpr Outcome kBad[] = {Outcome::kError, Outcome::kRefused, Outcome::kTimeout,
-                                      Outcome::kConnectFailed, Outcome::kReset};
-          out.outcome = kBad[random_() % std::size(kBad)];
+        if (chance(destination == failing_destination_ ? 0.9 : 0.05)) {
+          constexpr Outcome kFailures[] = {Outcome::kError, Outcome::kRefused, Outcome::kTimeout,
+                                           Outcome::kConnectFailed, Outcome::kReset};
+          out.outcome = kFailures[random_() % std::size(kFailures)];
         }
         EXPECT_GT(send->timeout, 0);
-        out.at = now_ +
-                 (out.outcome == Outcome::kTimeout ? send->timeout : std::min(send->timeout, up_to(400'000)));
-        out_.push_back(out);
+        out.at = now_ + (out.outcome == Outcome::kTimeout ? send->timeout
+                                                          : std::min(send->timeout, random_time(400'000)));
+        calls_in_flight_.push_back(out);
       } else if (const auto* probe = std::get_if<Probe>(&action)) {
         probes_.push_back(*probe);
       } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-        for (Out& out : out_) {
+        for (CallInFlight& out : calls_in_flight_) {
           if (out.send.id != cancel->id || out.attempt != cancel->attempt) continue;
           out.at = now_ + settings_.tick;
           out.outcome = Outcome::kCancelled;
@@ -134,32 +136,32 @@
       }
     }
     std::erase_if(timers_, [this](Time at) { return at <= now_; });
-    for (const Time at : timers_) wake_ = std::min(wake_, at);
+    for (const Time at : timers_) next_wake_ = std::min(next_wake_, at);
   }
 
   std::mt19937_64 random_;  // its numbers are the same everywhere; distributions are not, so none is used
   Settings settings_;
   Relay relay_;
   std::vector<Member> members_;
-  std::vector<Out> out_;
+  std::vector<CallInFlight> calls_in_flight_;
   std::vector<Probe> probes_;
   std::vector<Time> timers_;
   std::map<uint64_t, int> attempts_;
   Time now_ = 0;
-  Time wake_ = std::numeric_limits<Time>::max();
+  Time next_wake_ = std::numeric_limits<Time>::max();
   uint64_t last_id_ = 0;
-  int bad_ = 3;
+  int failing_destination_ = 3;
 };
 
 class RandomDays : public ::testing::TestWithParam<uint64_t> {};
 
-TEST_P(RandomDays, KeepEveryRule) { World(GetParam()).run(); }
+TEST_P(RandomDays, KeepEveryRule) { RandomRun(GetParam()).run(); }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDays, ::testing::Range<uint64_t>(1, 41));
 
 // The checker itself must see what it is there for.
-TEST(RulesChecker, SeesBrokenRules) {
-  const Settings s = plain_settings();
+TEST(RulesChecker, DetectsViolations) {
+  const Settings s = basic_settings();
   RulesChecker checker(s);
   Arrival arrival;
   arrival.id = 1;
@@ -170,20 +172,20 @@
   checker.before(0, start);
   const std::vector<Action> twice = {Send{1, {1, 80}, 0}, Send{1, {1, 80}, 0}};
   checker.after(0, twice);
-  ASSERT_EQ(checker.faults().size(), 1u);
-  EXPECT_NE(checker.faults()[0].find("two attempts at once"), std::string::npos);
+  ASSERT_EQ(checker.violations().size(), 1u);
+  EXPECT_NE(checker.violations()[0].find("two attempts at once"), std::string::npos);
   const std::vector<Event> timeouts = {ended(Send{1, {1, 80}, 0}, 0, Outcome::kTimeout)};
   checker.before(kSecond, timeouts);
   const std::vector<Action> refuse = {Refuse{1, 0}};
   checker.after(kSecond, refuse);
-  EXPECT_EQ(checker.faults().size(), 2u);
+  EXPECT_EQ(checker.violations().size(), 2u);
 }
 
 TEST(Determinism, SameEventsSameActions) {
   for (int run = 0; run < 2; ++run) {
     static std::vector<size_t> first;
     std::vector<size_t> sizes;
-    Relay relay(plain_settings(), 5);
+    Relay relay(basic_settings(), 5);
     relay.step(0, {members({member(1)})});
     for (uint64_t id = 1; id < 50; ++id) {
       const Time now = static_cast<Time>(id) * 40'000;
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -19,7 +19,7 @@
   explicit Relay(const Settings& settings, uint64_t seed = 1)
       : settings_(settings), policy_(settings, seed), checker_(settings) {}
   ~Relay() {
-    for (const std::string& fault : checker_.faults()) ADD_FAILURE() << fault;
+    for (const std::string& violation : checker_.violations()) ADD_FAILURE() << violation;
   }
 
   std::vector<Action> step(Time now, const std::vector<Event>& events) {
@@ -31,7 +31,7 @@
   }
 
   // Runs empty steps up to a time, as timers would; returns all that was done.
-  std::vector<Action> idle(Time from, Time to, Time every = 50'000) {
+  std::vector<Action> run_idle(Time from, Time to, Time every = 50'000) {
     std::vector<Action> all;
     for (Time t = from; t <= to; t += every) {
       for (Action& action : step(t, {})) all.push_back(std::move(action));
@@ -48,7 +48,7 @@
     return out;
   }
 
-  size_t owed() const { return checker_.owed(); }
+  size_t unanswered_count() const { return checker_.unanswered_count(); }
 
  private:
   Settings settings_;
@@ -57,7 +57,7 @@
 };
 
 // Two classes (0 safe, 1 unsafe) and two kinds (0 shared limit, 1 routes apart).
-inline Settings plain_settings() {
+inline Settings basic_settings() {
   Settings s;
   s.classes.resize(2);
   s.classes[0].effect = Effect::kSafe;
--- a/tests/rules_checker.h
+++ b/tests/rules_checker.h
@@ -13,49 +13,49 @@
 
 class RulesChecker {
  public:
-  explicit RulesChecker(Settings settings) : set_(std::move(settings)) {}
+  explicit RulesChecker(Settings settings) : settings_(std::move(settings)) {}
 
   // Call with the events before, and with the actions after each step.
   void before(Time now, std::span<const Event> events);
   void after(Time now, std::span<const Action> actions);
 
   // Messages that are still owed an answer.
-  size_t owed() const;
-  const std::vector<std::string>& faults() const { return faults_; }
+  size_t unanswered_count() const;
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  struct Sent {
+  struct SentAttempt {
     Endpoint endpoint;
-    Time at = 0;
-    uint64_t call = 0;
-    bool out = true;
-    bool ran = false;
+    Time sent = 0;
+    uint64_t call_id = 0;
+    bool in_flight = true;
+    bool maybe_executed = false;
   };
-  struct Held {
-    Arrival in;
-    std::vector<Sent> sent;
-    bool ended = false;
-    uint64_t order = 0;
+  struct TrackedMessage {
+    Arrival arrival;
+    std::vector<SentAttempt> attempts;
+    bool finished = false;
+    uint64_t arrival_number = 0;
   };
 
-  void fault(uint64_t id, const std::string& what);
+  void add_violation(uint64_t id, const std::string& what);
   void check_send(Time now, const Send& send);
   uint64_t join_call(const Member& member);
-  void check_order(Time now, uint64_t id, const Held& held);
+  void check_order(Time now, uint64_t id, const TrackedMessage& message);
   void check_refuse(uint64_t id);
-  std::pair<int, Endpoint> limit_group(const Member& member) const;
+  std::pair<int, Endpoint> route_of(const Member& member) const;
 
-  Settings set_;
-  std::map<uint64_t, Held> held_;
+  Settings settings_;
+  std::map<uint64_t, TrackedMessage> messages_;
   std::map<Endpoint, Member> members_;
-  std::map<Endpoint, Time> drained_at_;
-  std::map<std::pair<int, Endpoint>, Time> waits_;
-  std::map<uint64_t, std::pair<Time, uint64_t>> rests_;
+  std::map<Endpoint, Time> not_ready_since_;
+  std::map<std::pair<int, Endpoint>, Time> retry_after_until_;
+  std::map<uint64_t, std::pair<Time, uint64_t>> key_pauses_;
   uint64_t arrivals_ = 0;
-  std::map<uint64_t, int> calls_;       // calls out, with their messages
-  std::map<Endpoint, uint64_t> round_;  // this round's open call to each endpoint
-  uint64_t last_call_ = 0;
-  std::vector<std::string> faults_;
+  std::map<uint64_t, int> calls_in_flight_;  // calls out, with their messages
+  std::map<Endpoint, uint64_t> open_calls_;  // this round's open call to each endpoint
+  uint64_t last_call_id_ = 0;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace firspool::testing
