--- a/tests/consumer/relay_example.cpp
+++ b/tests/consumer/relay_example.cpp
@@ -1,4 +1,4 @@
-// A relay in small: one message arrives, is sent, and is delivered.
+// A minimal relay: one message arrives, is sent, and is delivered.
 #include <cstdio>
 #include <memory>
 #include <variant>
@@ -20,7 +20,7 @@
   firspool::Policy policy(settings, /*seed=*/1);
   std::vector<firspool::Event> events;
   firspool::MembersChanged list;
-  list.members = std::make_shared<std::vector<firspool::Member>>(1);  // one endpoint, of destination 0
+  list.members = std::make_shared<std::vector<firspool::Member>>(1);  // one endpoint of destination 0
   events.push_back(list);
   firspool::Arrival message;
   message.id = 7;
@@ -32,7 +32,7 @@
   for (const firspool::Action& action : actions) {
     if (const auto* send = std::get_if<firspool::Send>(&action)) {
       std::printf("send message %llu\n", static_cast<unsigned long long>(send->id));
-      return 0;  // a relay makes the call here, and passes its AttemptEnded to a later step
+      return 0;  // a real relay makes the call here and passes its AttemptEnded to a later step
     }
   }
   return 1;
--- a/tests/elsewhere_test.cpp
+++ b/tests/elsewhere_test.cpp
@@ -1,4 +1,4 @@
-// What the module does with the word of other relays: who scouts, and what they saw.
+// How the policy uses what other relays know: who sends trial calls, and reported outages.
 #include <gtest/gtest.h>
 
 #include "relay.h"
@@ -6,7 +6,8 @@
 namespace firspool::testing {
 namespace {
 
-struct RelayInOutage {  // a relay of ten whose destination has just gone out
+// One relay of ten that has just detected an outage of its destination.
+struct RelayInOutage {
   Settings s = [] {
     Settings out = basic_settings();
     out.relays = 10;
@@ -16,7 +17,7 @@
   Time now = 0;
   uint64_t next_id = 1;
   std::map<uint64_t, int> attempts;
-  std::vector<Event> events;  // of the next step
+  std::vector<Event> events;  // for the next step
 
   RelayInOutage() {
     events = {members({member(1)})};
@@ -30,7 +31,7 @@
     }
     EXPECT_TRUE(out);
   }
-  // One step, in which each call fails at once: the next one's events.
+  // Runs one step in which each call fails at once; the outcomes are events of the next step.
   std::vector<Action> step() {
     const auto actions = relay.step(now, events);
     events.clear();
@@ -39,10 +40,10 @@
     }
     return actions;
   }
-  ~RelayInOutage() {  // what is still held gets its end
+  ~RelayInOutage() {  // ends the messages that are still held
     for (; relay.unanswered_count() > 0 && now < 200 * kSecond; now += kSecond / 2) step();
   }
-  // How many calls go out within so many seconds.
+  // Number of calls sent within this many seconds.
   int count_calls(int for_s) {
     size_t count = 0;
     for (const Time end = now + for_s * kSecond; now < end; now += 50'000) {
@@ -54,11 +55,11 @@
 };
 
 TEST(OtherRelays, WhileAnotherRelaySendsTheTrialCallsThisOneSendsNothing) {
-  RelayInOutage out;
-  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
-  EXPECT_EQ(out.count_calls(10), 0);
-  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kShared});
-  EXPECT_GT(out.count_calls(10), 0);
+  RelayInOutage relay;
+  relay.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
+  EXPECT_EQ(relay.count_calls(10), 0);
+  relay.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kShared});
+  EXPECT_GT(relay.count_calls(10), 0);
 }
 
 TEST(OtherRelays, TheRelayWithTheDutySendsTheWholeFleetsMinimum) {
@@ -66,22 +67,23 @@
   owner.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kSelf});
   const int shared = alone.count_calls(10), all = owner.count_calls(10);
   EXPECT_GT(all, shared);
-  EXPECT_LE(all, 17);  // 1.5 a second, and what was saved up
+  EXPECT_LE(all, 17);  // 1.5 a second, and one saved token
 }
 
 TEST(OtherRelays, AnOutageEndsWhenAnotherRelaysTrialCallWasServed) {
-  RelayInOutage out;
-  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
-  EXPECT_EQ(out.count_calls(3), 0);
-  out.events.push_back(PeerHealthReport{1, out.now - 4 * kSecond, out.now, 5});
-  EXPECT_GT(out.count_calls(15), 0);  // a rare caller's part of a cold destination is small
+  RelayInOutage relay;
+  relay.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
+  EXPECT_EQ(relay.count_calls(3), 0);
+  relay.events.push_back(PeerHealthReport{1, relay.now - 4 * kSecond, relay.now, 5});
+  // The share of a relay that rarely calls a destination in slow start is small.
+  EXPECT_GT(relay.count_calls(15), 0);
 }
 
 TEST(OtherRelays, ARecoveryFromBeforeThisOutageIsIgnored) {
-  RelayInOutage out;
-  out.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
-  out.events.push_back(PeerHealthReport{1, 1, 2, 5});
-  EXPECT_EQ(out.count_calls(3), 0);
+  RelayInOutage relay;
+  relay.events.push_back(TrialAssignment{1, TrialAssignment::Duty::kOther});
+  relay.events.push_back(PeerHealthReport{1, 1, 2, 5});
+  EXPECT_EQ(relay.count_calls(3), 0);
 }
 
 TEST(OtherRelays, AReportedOutageIsTakenOverOnlyByARelayThatWasServedNothingSince) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -15,7 +15,7 @@
   return now + 200'000;
 }
 
-// A list whose destination takes so much that no guard is in the way of the bucket.
+// A list whose destination has such a high limit that no rate guard interferes with the retry bucket.
 MembersChanged list_without_rate_guards(Settings& s) {
   s.weights = Weights::kNominal;
   Member m = member(1);
@@ -34,7 +34,7 @@
   EXPECT_EQ(all_of<Send>(relay.run_idle(110'000, kSecond, 10'000)).size(), 1u);
 }
 
-// Calls that all fail: the bucket's first fill goes, then repeats stop while first attempts go on.
+// All calls fail: the initial tokens are spent, then retries stop while first attempts go on.
 TEST(RetryBucket, RepeatsStopWhenTheBucketIsEmpty) {
   Settings s = basic_settings();
   s.max_attempts = 2;
@@ -81,18 +81,19 @@
       for (int i = 0; i < 30 && sends.empty(); ++i) sends = all_of<Send>(relay.step(now += 10'000, {}));
       repeats += static_cast<int>(sends.size());
     }
-    relay.step(now += 3 * kSecond, {});  // the message is given up
+    relay.step(now += 3 * kSecond, {});  // the message's lifetime ends
     return repeats;
   };
   int spent = 0;
   for (int i = 0; i < 3; ++i) spent += retries_of_one_failure();
-  EXPECT_EQ(spent, 10);  // the first fill
+  EXPECT_EQ(spent, 10);  // the initial tokens
   for (int i = 0; i < 10; ++i) now = serve_one(relay, ++id, now);
   EXPECT_EQ(retries_of_one_failure(), 1);
 }
 
-// A rare caller earns a tenth of a token in minutes: what waits for one is given back, with its client still
-// in time to go elsewhere. Where calls are served often it waits, as a token is near.
+// A relay that rarely calls needs minutes to earn a tenth of a token: a message that waits for a token is
+// refused while its client can still use another relay. Where calls are served often the message waits, as a
+// token is near.
 TEST(RetryBucket, ARetryThatEarnsNoTokenInItsTimeIsRefused) {
   for (const auto& [often, outcome] :
        {std::pair(false, Outcome::kRefused), std::pair(true, Outcome::kRefused),
@@ -122,13 +123,13 @@
       sends = all_of<Send>(actions);
       refused = all_of<Refuse>(actions);
     }
-    EXPECT_EQ(attempt, 11);  // one, and the bucket's ten
+    EXPECT_EQ(attempt, 11);  // the first attempt and ten retries
     EXPECT_EQ(refused.size(), often || outcome == Outcome::kError ? 0u : 1u);
     relay.run_idle(now + 10'000, now + 30 * kSecond);
   }
 }
 
-// ---- Promises of a class ----
+// ---- Rules of a class ----
 
 TEST(Promises, UnsafeIsRetriedOnlyAfterProofThatItWasNotExecuted) {
   Relay relay(basic_settings());
@@ -157,7 +158,7 @@
   ASSERT_EQ(second.size(), 1u);
   EXPECT_EQ(second[0].endpoint, first[0].endpoint);
   const auto after = relay.step(3 * kSecond, {ended(second[0], 1, Outcome::kTimeout, kSecond)});
-  EXPECT_EQ(all_of<Fail>(after).size(), 1u);  // the window is over, and a refusal is not allowed
+  EXPECT_EQ(all_of<Fail>(after).size(), 1u);  // the key window is over, and refusing is not allowed
 }
 
 TEST(Promises, MessagesOfAKeyGoInTurn) {
@@ -271,7 +272,7 @@
   for (const Refuse& r : refused) EXPECT_NE(r.id, 1u);
 }
 
-// A tenant's quota counts when its messages were handed in: given back by a restart they come at one moment.
+// A tenant's quota applies at submission time: messages resumed after a restart arrive all at once.
 TEST(Shedding, ARestartLeavesATenantWithinItsQuotaItsWorth) {
   Settings s = basic_settings();
   s.max_open = 20;
@@ -286,7 +287,7 @@
     a.tenant = tenant;
     events.push_back(a);
   };
-  // Ten of `steady` within its 2 a second, ten of `flood` all in one second, where it has 1.
+  // Ten messages of `steady` within its quota of 2 a second, ten of `flood` in one second, with a quota of 1.
   for (uint64_t i = 0; i < 10; ++i) {
     submit(1 + i, 0, now - 6 * kSecond + static_cast<Time>(i) * 500'000);
     submit(101 + i, 1, now - kSecond + static_cast<Time>(i) * 100'000);
@@ -298,7 +299,7 @@
 
 // ---- Outages ----
 
-// Serves a message every 100 ms for some seconds, so that the relay knows the destination's pace.
+// Serves a message every 100 ms for some seconds, so that the relay knows the destination's rate and latency.
 Time warm_up(Relay& relay, uint64_t& id) {
   relay.step(0, {members({member(1)})});
   Time now = 0;
@@ -306,7 +307,7 @@
   return now;
 }
 
-// A hang: no outcome tells of it, calls only grow old. First attempts are held after a few.
+// A hang produces no outcomes, calls only become overdue. After a few of them first attempts are held back.
 TEST(Outages, AHangIsSeenByOverdueCalls) {
   Settings s = basic_settings();
   s.slots = 100;
@@ -320,13 +321,13 @@
   EXPECT_LE(sends, 12);
 }
 
-// After an outage the relay's own sends stay under its part of the fail-back budget, queue or not.
+// After an outage the relay's sends stay within its share of the overload budget, however many messages wait.
 TEST(Outages, QueuedMessagesAreNotAllSentAtOnceOnRecovery) {
   Settings s = basic_settings();
   s.slots = 100;
   Relay relay(s);
   uint64_t id = 0;
-  const Time start = warm_up(relay, id);  // about five a second
+  const Time start = warm_up(relay, id);  // about five calls a second
   std::map<uint64_t, int> attempts;
   std::vector<Event> events;
   std::vector<Time> sent_after_return;
@@ -344,8 +345,8 @@
   ASSERT_FALSE(sent_after_return.empty());
   for (const Time from : sent_after_return) {
     const double warm = static_cast<double>(from + 3 * kSecond - back) / static_cast<double>(s.slow_start);
-    const double budget =
-        2 * (0.25 + 0.75 * std::min(1.0, warm)) * 10 * 3;  // of its own part, ten a second at most
+    // Its share of the budget, at ten calls a second at most.
+    const double budget = 2 * (0.25 + 0.75 * std::min(1.0, warm)) * 10 * 3;
     const auto in_window = std::count_if(sent_after_return.begin(), sent_after_return.end(),
                                          [&](Time t) { return t >= from && t < from + 3 * kSecond; });
     EXPECT_LE(static_cast<double>(in_window), budget);
@@ -355,13 +356,14 @@
             10);
 }
 
-// A host that is being replaced turns calls away before the list says so: its destination was never out, and
-// its new host gets what is waiting at once. Where a host that stays failed too, the outage stands.
+// A host that is being replaced refuses calls before the list says so. This is no outage of its destination,
+// and the new host gets the waiting messages at once. If a host that stays in the list failed too, the outage
+// stands.
 TEST(Outages, RefusalsOfAHostBeingRemovedAreNoOutageOfItsDestination) {
   for (const bool other_failed : {false, true}) {
     Relay relay(basic_settings());
     uint64_t id = 0;
-    Time now = warm_up(relay, id);  // at host 1
+    Time now = warm_up(relay, id);  // all calls go to host 1
     std::vector<Event> events;
     if (other_failed) events.push_back(members({member(1), member(2)}));
     std::map<uint64_t, int> attempts;
@@ -384,7 +386,7 @@
     const std::vector<Member> list = {member(1, 1, 0, HostState::kDraining), member(3)};
     auto sends = all_of<Send>(relay.step(now + 500'000, {members(list, MembersChanged::Form::kDelta)}));
     if (other_failed) {
-      EXPECT_LE(sends.size(), 1u);  // a scout
+      EXPECT_LE(sends.size(), 1u);  // a trial call
     } else {
       EXPECT_GE(sends.size(), 4u);
       for (const Send& send : sends) EXPECT_EQ(send.endpoint.address, 3u);
@@ -392,8 +394,8 @@
   }
 }
 
-// What was learned of a limit before outlasts a host that fails on its way out: its failures are taken back,
-// not the pace from before them.
+// When a host fails while it is being removed, its failures are discounted, but the pacing rate learned
+// before them stays.
 TEST(Outages, ARemovedHostLeavesThePacingRateLearnedBefore) {
   Settings s = basic_settings();
   s.slots = 100;
@@ -410,14 +412,14 @@
       for (const Send& send : sends) events.push_back(ended(send, attempts[send.id]++, outcome));
     }
   };
-  run_with_outcome(kSecond, Outcome::kRefused);  // a limit
+  run_with_outcome(kSecond, Outcome::kRefused);  // refusals at a rate limit
   run_with_outcome(3 * kSecond, Outcome::kOk);
-  run_with_outcome(kSecond, Outcome::kConnectFailed);  // the host is gone, and the list has yet to say so
+  run_with_outcome(kSecond, Outcome::kConnectFailed);  // the host is gone, but still listed
   relay.step(now, events);
   const std::vector<Member> list = {member(1, 1, 0, HostState::kRemoved), member(3)};
   const auto sends = all_of<Send>(relay.step(now + kSecond, {members(list, MembersChanged::Form::kDelta)}));
   EXPECT_GE(sends.size(), 1u);
-  EXPECT_LE(sends.size(), 4u);  // some thirty wait
+  EXPECT_LE(sends.size(), 4u);  // of some thirty that wait
 }
 
 // A few lost answers among served calls are not an outage: first attempts go on.
@@ -434,8 +436,8 @@
   }
 }
 
-// Messages wait, a call is overdue, and one sent later was served: its answer is lost, so its slot is freed.
-// Calls past the suspicious age end as they did before: served late, or timed out. Returns the last one's id.
+// Produces overdue calls that end with the given outcome: served late, or timed out. Then one more call that
+// is never answered, while calls sent later are served. Returns the id of that call's message.
 uint64_t overdue_calls(Relay& relay, uint64_t& id, Time& now, Outcome outcome) {
   for (int i = 0; i < 3; ++i) {
     const auto sends = all_of<Send>(relay.step(now, {relay.message(++id, now)}));
@@ -463,7 +465,7 @@
   uint64_t id = 0;
   Time now = warm_up(relay, id);
   const uint64_t lost = overdue_calls(relay, id, now, Outcome::kTimeout);
-  EXPECT_TRUE(all_of<Cancel>(relay.step(now, {})).empty());  // no one waits
+  EXPECT_TRUE(all_of<Cancel>(relay.step(now, {})).empty());  // no other message waits
   const auto freed = all_of<Cancel>(relay.step(now, {relay.message(++id, now), relay.message(++id, now)}));
   ASSERT_EQ(freed.size(), 1u);
   EXPECT_EQ(freed[0].id, lost);
@@ -480,8 +482,8 @@
   EXPECT_TRUE(all_of<Cancel>(relay.step(now, {relay.message(++id, now), relay.message(++id, now)})).empty());
 }
 
-// Scouts burn messages whose repeats find the bucket empty: where probes are allowed one goes ahead of each
-// scout.
+// Trial calls use up messages whose retries find no token: where probes are allowed one is sent ahead of each
+// trial call.
 TEST(Outages, AProbePrecedesATrialCall) {
   Settings s = basic_settings();
   s.slots = 100;
@@ -493,7 +495,7 @@
   std::vector<Event> events;
   int late_sends = 0;
   int probes = 0;
-  for (int i = 0; i < 70; ++i, now += 100'000) {  // down: the outage is proven within the first two seconds
+  for (int i = 0; i < 70; ++i, now += 100'000) {  // down: the outage is detected within the first two seconds
     events.push_back(relay.message(++id, now));
     const auto actions = relay.step(now, events);
     events.clear();
@@ -512,7 +514,7 @@
   EXPECT_LE(probes, 20);
 }
 
-// A slow answer to a suspected call ends the suspicion, without a ramp.
+// A slow answer to an overdue call ends a suspected outage, without a slow start.
 TEST(Outages, SlowCallsEndASuspectedOutage) {
   Settings s = basic_settings();
   s.slots = 100;
@@ -531,7 +533,7 @@
   EXPECT_EQ(all_of<Send>(relay.step(now, events)).size(), 10u);
 }
 
-// Refused by a limit shared with other relays: the own pace goes down, and it is not taken for an outage.
+// Refusals at a limit shared with other relays reduce the pacing rate, and are not taken for an outage.
 TEST(Limits, RefusalsReduceThePacingRate) {
   Settings s = basic_settings();
   s.weights = Weights::kNominal;
@@ -556,12 +558,11 @@
     return sends;
   };
   const int served = count(kSecond, Outcome::kOk);
-  EXPECT_EQ(served, 80);  // until a refusal nothing is held back
+  EXPECT_EQ(served, 80);  // nothing is held back before the first refusal
   EXPECT_LT(count(40 * kSecond, Outcome::kRefused), served / 2);
 }
 
-// Counts the attempts of a relay, fresh at the start, that calls a dead destination every so often for some
-// time.
+// Counts the attempts of a new relay that gets messages for a dead destination at a fixed interval.
 int attempts_on_a_dead_destination(Time interval, Time until, int relays = 3) {
   Settings s = basic_settings();
   s.relays = relays;
@@ -585,19 +586,20 @@
   return count;
 }
 
-// A rare caller earns nothing from a dead destination: beyond the first fill there are no repeats.
+// A relay that rarely calls earns no tokens at a dead destination: no retries beyond the initial tokens.
 TEST(ExpectedTrouble, ARareCallerRetriesNoMoreThanItsInitialTokens) {
   EXPECT_LE(attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond), 30 + 10);
 }
 
-// A restarted relay has a full bucket, but sees the outage in three calls and then only scouts.
+// A restarted relay has a full bucket, but detects the outage after three calls and then sends trial calls
+// only.
 TEST(ExpectedTrouble, ARestartedRelaySoonSendsOnlyTrialCalls) {
   EXPECT_LE(attempts_on_a_dead_destination(100'000, 10 * kSecond), 10 + 10 + 10);  // of a hundred messages
 }
 
-// ---- Fleets of hundreds: a relay calls most destinations seldom ----
+// ---- Fleets of hundreds: a relay rarely calls most destinations ----
 
-// An even part of a limit is a call a minute at 300 relays: nothing is held back before a refusal.
+// With 300 relays an even share of the limit is a call a minute: nothing is held back before a refusal.
 TEST(Fleet, ARareCallerIsServedAtOnce) {
   Settings s = basic_settings();
   s.relays = 300;
@@ -609,7 +611,7 @@
   for (uint64_t id = 1; id <= 10; ++id) serve_one(relay, id, static_cast<Time>(id) * 5 * kSecond);
 }
 
-// Scouts are counted for the fleet: one relay of 300 sends far fewer than one of three.
+// The rate of trial calls is one for the fleet: one relay of 300 sends far fewer than one of three.
 TEST(Fleet, TrialCallsOfManyRelaysAddUpToFew) {
   const int few = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 3);
   const int many = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 300);
@@ -617,7 +619,8 @@
   EXPECT_GE(many, 3);
 }
 
-// All relays are told the same end of a wait: a return begins there, and what they hold does not go at once.
+// All relays are asked to wait until the same time: the recovery starts then, and waiting messages are not
+// all sent at once.
 TEST(Fleet, ALongRequestedWaitStartsARecovery) {
   Settings s = basic_settings();
   s.relays = 300;
@@ -626,13 +629,14 @@
   ASSERT_EQ(first.size(), 1u);
   relay.step(50'000, {ended(first[0], 0, Outcome::kRefused, 50'000, 5000'000), relay.message(2, 50'000)});
   EXPECT_TRUE(all_of<Send>(relay.run_idle(60'000, 6 * kSecond)).empty());
-  EXPECT_FALSE(
-      all_of<Send>(relay.run_idle(6 * kSecond, 19 * kSecond)).empty());  // warm before the messages end
+  // The slow start ends before the messages' lifetime.
+  EXPECT_FALSE(all_of<Send>(relay.run_idle(6 * kSecond, 19 * kSecond)).empty());
 }
 
 // ---- Connections ----
 
-// Calls on connections that idled long are lost, on fresh ones served: the next call opens a fresh one.
+// Calls on connections that were idle for long are lost, calls on new ones are served: the next call opens a
+// new connection.
 TEST(Connections, IdleOnesThatWereDroppedUnseenAreNotUsedAgain) {
   Relay relay(basic_settings());
   relay.step(0, {members({member(1)})});
@@ -655,7 +659,8 @@
   EXPECT_TRUE(closed);
 }
 
-// Most calls go on idle connections, so most that a hang swallows do; another destination's stay in use.
+// Most calls use idle connections, so most calls lost in a hang do too: idle connections to other
+// destinations stay in use.
 TEST(Connections, IdleOnesOutliveAHangElsewhere) {
   Relay relay(basic_settings());
   std::vector<Member> list;
@@ -665,7 +670,7 @@
   }
   uint64_t id = 0;
   std::map<uint64_t, int> attempts;
-  // All five are served for a while. Then 1 to 4 hang: what goes there ends with a time-out, or late.
+  // All five are served for a while. Then 1 to 4 hang: calls to them time out.
   std::vector<std::pair<Time, Event>> due;
   std::vector<Event> events = {members(list)};
   int closed = 0;
@@ -693,7 +698,8 @@
   EXPECT_EQ(closed, 0);
 }
 
-// A crashed destination takes no connection either, and is served again later: that is no full table.
+// A crashed destination accepts no connections either and serves calls later: its connection table was not
+// full.
 TEST(Connections, IdleOnesOutliveACrashElsewhere) {
   Relay relay(basic_settings());
   Member other = member(2);
@@ -722,7 +728,7 @@
   EXPECT_EQ(closed, 0);
 }
 
-// An endpoint takes few connections: where calls get none, idle ones are given back after each call.
+// Hosts accept few connections: if calls get none, idle connections are closed after each call.
 TEST(Connections, IdleOnesAreReleasedWhileTablesAreFull) {
   Relay relay(basic_settings());
   uint64_t id = 0;
@@ -739,7 +745,8 @@
       1u);
 }
 
-// An unsafe call keeps no slot for its whole life: lost answers would fill the slots one by one.
+// An unsafe call does not keep its slot for the whole lifetime of its message: lost answers would fill the
+// slots one by one.
 TEST(Outages, UnsafeCallsAreBoundedToo) {
   Relay relay(basic_settings());
   uint64_t id = 0;
@@ -749,7 +756,7 @@
   EXPECT_LT(sends[0].timeout, 10 * kSecond);
 }
 
-// ---- The list ----
+// ---- Discovery watch ----
 
 TEST(List, TheWatchIsReopenedAfterAFailure) {
   Settings s = basic_settings();
@@ -765,7 +772,7 @@
 
 // ---- Restarts ----
 
-// A policy that has just been started anew and is told of one message from before.
+// Starts a new policy and resumes one message from before a restart.
 std::vector<Action> actions_after_resume(const Settings& s, int message_class, int attempts, bool ran,
                                          Time since) {
   Policy policy(s, 1);
@@ -792,8 +799,8 @@
   EXPECT_EQ(all_of<Send>(actions_after_resume(s, 1, 1, false, 0)).size(), 1u);
   EXPECT_EQ(all_of<Send>(actions_after_resume(s, 2, 1, true, kSecond)).size(), 1u);
   EXPECT_EQ(all_of<Fail>(actions_after_resume(s, 2, 1, true, 6 * kSecond)).size(), 1u);  // and not refused
-  EXPECT_EQ(all_of<Refuse>(actions_after_resume(s, 0, s.max_attempts, false, 0)).size(),
-            1u);  // attempts count on
+  // Attempts are counted on.
+  EXPECT_EQ(all_of<Refuse>(actions_after_resume(s, 0, s.max_attempts, false, 0)).size(), 1u);
 }
 
 TEST(Restart, AttemptNumbersGoOn) {
@@ -802,12 +809,13 @@
   in.attempts = 2;
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), in}));
   ASSERT_EQ(sends.size(), 1u);
-  relay.step(kSecond, {ended(sends[0], 0, Outcome::kError)});  // none of its numbers: passed over
+  relay.step(kSecond, {ended(sends[0], 0, Outcome::kError)});  // not the number of its attempt: ignored
   EXPECT_TRUE(all_of<Send>(relay.run_idle(kSecond, 2 * kSecond)).empty());
   relay.step(2 * kSecond, {ended(sends[0], 2, Outcome::kOk)});
 }
 
-// Without it a restarted relay would send all that it resumed at once to a destination that is down or cold.
+// Without the saved state a restarted relay would send all resumed messages at once to a destination that is
+// down or in slow start.
 TEST(Restart, OutagesAndRetryTokensAreSaved) {
   const Settings s = basic_settings();
   DestinationState last;
@@ -837,8 +845,8 @@
   EXPECT_LE(sends({last}), 1u);
 }
 
-// What was held for the pace would all go in the first moment after a restart: in a fleet's model two relays
-// sent twelve calls so to a destination that had just come back cold.
+// Without the saved pacing rate all waiting messages would be sent in the first moment after a restart. In
+// the fleet emulator two relays sent twelve calls this way to a destination that was in slow start.
 TEST(Restart, ThePacingRateLearnedFromRefusalsIsSaved) {
   const Settings s = basic_settings();
   DestinationState last;
@@ -856,7 +864,7 @@
     for (const SaveDestinationState& saved : all_of<SaveDestinationState>(actions)) last = saved.state;
   }
   EXPECT_GT(last.pacing_rate, 0);
-  last.outage_start = 0;  // the pace alone
+  last.outage_start = 0;  // only the pacing rate
   const auto sends = [&](std::vector<Event> events) {
     Policy after(s, 2);
     events.insert(events.begin(), members({member(1)}));
@@ -869,7 +877,8 @@
   EXPECT_LE(sends({last}), 1u);
 }
 
-// A rare caller that was refused before the restart would not call for a quarter of a minute otherwise.
+// Otherwise a relay that rarely calls and was refused before the restart would not call for a quarter of a
+// minute.
 TEST(Restart, TheSavedPacingRateIsAtLeastTheEvenShareOfTheListedLimit) {
   Settings s = basic_settings();
   s.weights = Weights::kNominal;
@@ -895,7 +904,7 @@
   EXPECT_LE(sent, 5u);
 }
 
-// It changes with each served call: a record for each would be one for each message.
+// The pacing rate changes with each served call: without rounding there would be a record for each message.
 TEST(Restart, ThePacingRateIsSavedInSteps) {
   const Settings s = basic_settings();
   Policy policy(s, 1);
@@ -930,7 +939,7 @@
   EXPECT_TRUE(all_of<Send>(actions).empty());
 }
 
-// A connection that comes up late must not carry a keyed repeat past the time that its key is remembered.
+// A connection that is established late must not carry a retry of a keyed message past its key window.
 TEST(Restart, AKeyedRepeatSaysWhenItMustHaveStarted) {
   Settings s = basic_settings();
   s.classes[0].effect = Effect::kKeyed;
@@ -971,9 +980,9 @@
                  ended(Send{98, {1, 80}, 0}, 0, Outcome::kOk), ProbeEnded{{9, 9}, true, 0, {}}});
 }
 
-// ---- Hosts that go ----
+// ---- Removed hosts ----
 
-// It is forgotten only once nothing is out on it: a late outcome still ends its message.
+// A removed host is erased only once no call to it is in flight: a late outcome still ends its message.
 TEST(RemovedHosts, ALateOutcomeOfARemovedHostEndsItsMessage) {
   Relay relay(basic_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
@@ -988,9 +997,10 @@
   EXPECT_EQ(next[0].endpoint, (Endpoint{2, 80}));
 }
 
-// ---- Spoilt answers ----
+// ---- Malformed answers ----
 
-// They come from any host alike: they end hope for an unsafe message, and say nothing of the host.
+// Any host may send malformed answers: they rule out a retry of an unsafe message, and say nothing about the
+// host.
 TEST(MalformedAnswers, MayHaveBeenExecutedAndAreNoSignOfAnOutage) {
   Relay relay(basic_settings());
   relay.step(0, {members({member(1)})});
@@ -1005,7 +1015,7 @@
   }
 }
 
-// The head of an answer told to wait, and the rest of it never came.
+// The head of the answer asked for a wait, and its body was never received.
 TEST(MalformedAnswers, TheirRequestedWaitIsKept) {
   Relay relay(basic_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -1,4 +1,4 @@
-// Legal events of fixed seeds against the rules checker.
+// Random valid events of fixed seeds, checked by the rules checker.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -92,7 +92,7 @@
 
   void add_other_events(std::vector<Event>& events) {
     if (chance(0.002))
-      failing_destination_ = static_cast<int>(random_() % 4);  // the destination that does badly; 3: none
+      failing_destination_ = static_cast<int>(random_() % 4);  // the failing destination; 3: none
     if (chance(0.002)) {
       Member& m = members_[random_() % members_.size()];
       m.state = m.state == HostState::kReady ? HostState::kDraining : HostState::kReady;
@@ -139,7 +139,7 @@
     for (const Time at : timers_) next_wake_ = std::min(next_wake_, at);
   }
 
-  std::mt19937_64 random_;  // its numbers are the same everywhere; distributions are not, so none is used
+  std::mt19937_64 random_;  // its sequence is specified, those of the distributions are not, so none is used
   Settings settings_;
   Relay relay_;
   std::vector<Member> members_;
@@ -159,7 +159,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDays, ::testing::Range<uint64_t>(1, 41));
 
-// The checker itself must see what it is there for.
+// The checker itself has to detect violations.
 TEST(RulesChecker, DetectsViolations) {
   const Settings s = basic_settings();
   RulesChecker checker(s);
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -1,4 +1,4 @@
-// A policy under test with the rules checker beside it.
+// A policy under test together with the rules checker.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
     return actions;
   }
 
-  // Runs empty steps up to a time, as timers would; returns all that was done.
+  // Runs empty steps up to a time, as timers would; returns all actions.
   std::vector<Action> run_idle(Time from, Time to, Time every = 50'000) {
     std::vector<Action> all;
     for (Time t = from; t <= to; t += every) {
@@ -56,7 +56,7 @@
   RulesChecker checker_;
 };
 
-// Two classes (0 safe, 1 unsafe) and two kinds (0 shared limit, 1 routes apart).
+// Two classes (0 safe, 1 unsafe) and two kinds (0 with a shared limit, 1 with independent endpoints).
 inline Settings basic_settings() {
   Settings s;
   s.classes.resize(2);
--- a/tests/rules_checker.cpp
+++ b/tests/rules_checker.cpp
@@ -109,7 +109,7 @@
     add_violation(send.id, "more calls in flight than slots");
 }
 
-// Sends of one round to one endpoint share a call, as far as its kind allows.
+// Sends to one endpoint in the same step share a call, up to the batch size of its kind.
 uint64_t RulesChecker::join_call(const Member& member) {
   const auto open_call = open_calls_.find(member.endpoint);
   if (open_call == open_calls_.end() ||
--- a/tests/rules_checker.h
+++ b/tests/rules_checker.h
@@ -1,5 +1,5 @@
-// Watches what goes into and comes out of a Policy, and reports each broken promise. Knows nothing of the
-// module.
+// Observes the events and actions of a Policy and reports each broken rule. Knows nothing of the
+// implementation.
 #pragma once
 
 #include <map>
@@ -15,11 +15,11 @@
  public:
   explicit RulesChecker(Settings settings) : settings_(std::move(settings)) {}
 
-  // Call with the events before, and with the actions after each step.
+  // Call with the events before each step, and with the actions after it.
   void before(Time now, std::span<const Event> events);
   void after(Time now, std::span<const Action> actions);
 
-  // Messages that are still owed an answer.
+  // Number of messages without a final answer.
   size_t unanswered_count() const;
   const std::vector<std::string>& violations() const { return violations_; }
 
@@ -52,8 +52,8 @@
   std::map<std::pair<int, Endpoint>, Time> retry_after_until_;
   std::map<uint64_t, std::pair<Time, uint64_t>> key_pauses_;
   uint64_t arrivals_ = 0;
-  std::map<uint64_t, int> calls_in_flight_;  // calls out, with their messages
-  std::map<Endpoint, uint64_t> open_calls_;  // this round's open call to each endpoint
+  std::map<uint64_t, int> calls_in_flight_;  // calls in flight, with the number of their messages
+  std::map<Endpoint, uint64_t> open_calls_;  // calls of the current step that further messages may join
   uint64_t last_call_id_ = 0;
   std::vector<std::string> violations_;
 };
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -8,7 +8,7 @@
 namespace firspool {
 namespace {
 
-const char kFacts[] =
+const char kSettingsText[] =
     "categories.count=2\n"
     "categories.0.name=update\n"
     "categories.0.semantics=keyed\n"
@@ -42,7 +42,7 @@
     "a.key.of.later=whatever\n";
 
 std::string without(const std::string& key) {
-  std::string text = kFacts;
+  std::string text = kSettingsText;
   const size_t at = text.find(key + "=");
   return text.erase(at, text.find('\n', at) - at + 1);
 }
@@ -56,8 +56,8 @@
   return "";
 }
 
-TEST(Settings, ReadsWhatIsTold) {
-  const Settings s = parse_settings(kFacts);
+TEST(Settings, ReadsAllFields) {
+  const Settings s = parse_settings(kSettingsText);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
   EXPECT_EQ(s.classes[0].key_scope, KeyScope::kZone);
@@ -89,14 +89,15 @@
 }
 
 TEST(Settings, NamesTheKeyThatIsUnreadable) {
-  EXPECT_NE(error_of(std::string(kFacts) + "bounds.open_cap=many\n").find("bounds.open_cap"),
+  EXPECT_NE(error_of(std::string(kSettingsText) + "bounds.open_cap=many\n").find("bounds.open_cap"),
             std::string::npos);
-  EXPECT_NE(error_of(std::string(kFacts) + "categories.count=0\n").find("categories.count"),
+  EXPECT_NE(error_of(std::string(kSettingsText) + "categories.count=0\n").find("categories.count"),
             std::string::npos);
-  EXPECT_NE(error_of(std::string(kFacts) + "obligations.cold_s=-1\n").find("obligations.cold_s"),
-            std::string::npos);
-  EXPECT_NE(error_of(std::string(kFacts) + "categories.0.semantics=odd\n").find("categories.0.semantics"),
+  EXPECT_NE(error_of(std::string(kSettingsText) + "obligations.cold_s=-1\n").find("obligations.cold_s"),
             std::string::npos);
+  EXPECT_NE(
+      error_of(std::string(kSettingsText) + "categories.0.semantics=odd\n").find("categories.0.semantics"),
+      std::string::npos);
 }
 
 TEST(Settings, NamesTheKeyThatIsOutOfItsRange) {
@@ -104,11 +105,14 @@
                            "obligations.fall_multiple=-1", "obligations.fall_multiple=nan",
                            "over_share_worth=2", "bounds.max_attempts=0", "family_info.calls_out=0"}) {
     const std::string key(line, std::string(line).find('='));
-    EXPECT_EQ(error_of(std::string(kFacts) + line + "\n"), "setting " + key + " is unreadable") << line;
+    EXPECT_EQ(error_of(std::string(kSettingsText) + line + "\n"), "setting " + key + " is unreadable")
+        << line;
   }
 }
 
-TEST(Settings, UnknownKeysAreSkipped) { EXPECT_EQ(error_of(std::string(kFacts) + "x.y=1\nno_equals\n"), ""); }
+TEST(Settings, UnknownKeysAreIgnored) {
+  EXPECT_EQ(error_of(std::string(kSettingsText) + "x.y=1\nno_equals\n"), "");
+}
 
 }  // namespace
 }  // namespace firspool
