--- a/emulator/days.cpp
+++ b/emulator/days.cpp
@@ -10,18 +10,18 @@
 namespace {
 
 constexpr double kLimit = 60;
-constexpr Time kFall = 10 * kSecond;
-constexpr Time kReturn = 19 * kSecond;
+constexpr Time kLimitLowered = 10 * kSecond;
+constexpr Time kLimitRestored = 19 * kSecond;
 
 template <class Shape>
-void each(FleetModel& model, Shape shape) {
-  for (DestinationModel& d : model.destinations) shape(d);
+void for_each_destination(FleetModel& model, Shape configure) {
+  for (DestinationModel& d : model.destinations) configure(d);
 }
 
 // A limit that all relays share, that refused calls use up too, and whose refusals the settings price.
-void share_limit(FleetModel& model, double rate) {
+void set_shared_limit(FleetModel& model, double rate) {
   model.settings.price_refused = 0.1;
-  each(model, [&](DestinationModel& d) {
+  for_each_destination(model, [&](DestinationModel& d) {
     d.rate_limit = d.weight = rate;
     d.load = 40;
     d.refused_calls_count = true;
@@ -30,14 +30,14 @@
   });
 }
 
-void fall(FleetModel& model) {
-  share_limit(model, kLimit);
-  model.changes = {{kFall, &DestinationModel::rate_limit, kLimit / 3},
-                   {kReturn, &DestinationModel::rate_limit, kLimit}};
+void lower_limit(FleetModel& model) {
+  set_shared_limit(model, kLimit);
+  model.changes = {{kLimitLowered, &DestinationModel::rate_limit, kLimit / 3},
+                   {kLimitRestored, &DestinationModel::rate_limit, kLimit}};
 }
 
 // One relay in a hundred is asked a hundred times as often as another.
-std::vector<double> lopsided(int relays) {
+std::vector<double> skewed_shares(int relays) {
   std::vector<double> shares(static_cast<size_t>(relays), 1);
   for (size_t i = 0; i < shares.size(); i += 100) shares[i] = 100;
   return shares;
@@ -49,47 +49,49 @@
   static const std::vector<DayScenario> all = {
       {"healthy", "nothing happens", 0, 0, [](FleetModel&) {}},
       {"small-tables", "a host holds 12 connections", 0, 0,
-       [](FleetModel& m) { each(m, [](DestinationModel& d) { d.max_connections = 12; }); }},
+       [](FleetModel& m) { for_each_destination(m, [](DestinationModel& d) { d.max_connections = 12; }); }},
       {"at-capacity", "asked for 78 of 80 calls a second", 0, 0,
-       [](FleetModel& m) { each(m, [](DestinationModel& d) { d.load = 78; }); }},
+       [](FleetModel& m) { for_each_destination(m, [](DestinationModel& d) { d.load = 78; }); }},
       {"over-limit", "a limit of 30 calls a second", 0, 0,
        [](FleetModel& m) {
-         each(m, [](DestinationModel& d) {
+         for_each_destination(m, [](DestinationModel& d) {
            d.rate_limit = 30;
            d.retry_after_share = 0.5;
            d.retry_after = kSecond / 2;
          });
        }},
-      {"limit-falls", "a priced limit of 60 falls to a third for 9 s", kFall, kLimit / 3, fall},
-      {"limit-falls-lopsided", "the same where one relay in a hundred has a hundred times the traffic", kFall,
-       kLimit / 3,
+      {"limit-falls", "a priced limit of 60 falls to a third for 9 s", kLimitLowered, kLimit / 3,
+       lower_limit},
+      {"limit-falls-lopsided", "the same where one relay in a hundred has a hundred times the traffic",
+       kLimitLowered, kLimit / 3,
        [](FleetModel& m) {
-         fall(m);
-         m.traffic_shares = lopsided(m.settings.relays);
+         lower_limit(m);
+         m.traffic_shares = skewed_shares(m.settings.relays);
        }},
-      {"limit-falls-small-tables", "the same where a host holds 12 connections", kFall, kLimit / 3,
+      {"limit-falls-small-tables", "the same where a host holds 12 connections", kLimitLowered, kLimit / 3,
        [](FleetModel& m) {
-         fall(m);
-         each(m, [](DestinationModel& d) { d.max_connections = 12; });
+         lower_limit(m);
+         for_each_destination(m, [](DestinationModel& d) { d.max_connections = 12; });
        }},
-      {"limit-falls-down", "the same, and the destination is really down from 14 to 17 s", kFall, kLimit / 3,
+      {"limit-falls-down", "the same, and the destination is really down from 14 to 17 s", kLimitLowered,
+       kLimit / 3,
        [](FleetModel& m) {
-         fall(m);
-         each(m, [](DestinationModel& d) {
+         lower_limit(m);
+         for_each_destination(m, [](DestinationModel& d) {
            d.down_from = 14 * kSecond;
            d.down_to = 17 * kSecond;
          });
        }},
       {"clump", "four times the load for 2 s at a priced limit whose refusals all tell to wait", 0, 0,
        [](FleetModel& m) {
-         share_limit(m, kLimit);
-         each(m, [](DestinationModel& d) { d.retry_after_share = 1; });
-         m.changes = {{kFall, &DestinationModel::load, 160},
-                      {kFall + 2 * kSecond, &DestinationModel::load, 40}};
+         set_shared_limit(m, kLimit);
+         for_each_destination(m, [](DestinationModel& d) { d.retry_after_share = 1; });
+         m.changes = {{kLimitLowered, &DestinationModel::load, 160},
+                      {kLimitLowered + 2 * kSecond, &DestinationModel::load, 40}};
        }},
       {"half-out", "half of the destinations are out for 5 s and come back cold", 0, 0,
        [](FleetModel& m) {
-         each(m, [](DestinationModel& d) {
+         for_each_destination(m, [](DestinationModel& d) {
            if (d.number % 2 != 0) return;
            d.down_from = 10 * kSecond;
            d.down_to = 15 * kSecond;
@@ -97,14 +99,14 @@
        }},
       {"out-cold", "out for 8 s, then cold", 0, 0,
        [](FleetModel& m) {
-         each(m, [](DestinationModel& d) {
+         for_each_destination(m, [](DestinationModel& d) {
            d.down_from = 10 * kSecond;
            d.down_to = 18 * kSecond;
          });
        }},
       {"loaded-out-cold", "asked for 70 of 80, out for 6 s, then cold", 0, 0,
        [](FleetModel& m) {
-         each(m, [](DestinationModel& d) {
+         for_each_destination(m, [](DestinationModel& d) {
            d.load = 70;
            d.down_from = 10 * kSecond;
            d.down_to = 16 * kSecond;
@@ -144,10 +146,10 @@
   d.service_time = time(0.1, 0.5);
   d.concurrency = 1 + static_cast<int>(random() % 6);
   d.max_queued = 2 * d.concurrency;
-  const double able = static_cast<double>(d.concurrency) * static_cast<double>(d.hosts.size()) * 1e6 /
-                      static_cast<double>(d.service_time);
-  d.weight = able;
-  d.load = able * within(0.3, 1.1);
+  const double capacity = static_cast<double>(d.concurrency) * static_cast<double>(d.hosts.size()) * 1e6 /
+                          static_cast<double>(d.service_time);
+  d.weight = capacity;
+  d.load = capacity * within(0.3, 1.1);
   d.down_from = 15 * kSecond;
   d.down_to = d.down_from + time(4, 20);
   model.destinations.push_back(d);
@@ -194,7 +196,7 @@
 constexpr Time kStep = 10'000;
 
 // Calls a second that it can take, cold or warm; a limit above that changes nothing.
-double able(const DestinationModel& d, const firspool::Settings& s, Time now) {
+double capacity(const DestinationModel& d, const firspool::Settings& s, Time now) {
   if (now >= d.down_from && now < d.down_to) return 0;
   double rate = static_cast<double>(d.concurrency) * static_cast<double>(d.hosts.size()) * 1e6 /
                 static_cast<double>(d.service_time);
@@ -210,44 +212,45 @@
 ScoreBounds score_bounds(const FleetModel& model) {
   std::mt19937_64 random(model.seed);
   int64_t offered = 0;
-  int64_t best = 0;
-  int64_t least = 0;
+  int64_t upper_count = 0;
+  int64_t lower_count = 0;
   std::vector<DestinationModel> all = model.destinations;
   for (DestinationModel& d : all) {
     const firspool::ClassSettings& c = model.settings.classes.at(d.message_class);
     const Time way = 2 * model.one_way_latency + d.service_time;
-    std::deque<Time> held;  // when each was handed in
-    double room = 0;        // for whom it is held until there is
-    double once = 0;        // for who tries once
+    std::deque<Time> waiting;  // when each was handed in
+    double upper_tokens = 0;   // for whom it is held until there is
+    double lower_tokens = 0;   // for who tries once
     for (Time now = 0; now < model.duration + c.give_up; now += kStep) {
       for (const Change& change : model.changes) {
         if (change.at <= now && now < change.at + kStep) d.*change.field = change.value;
       }
-      const double rate = able(d, model.settings, now);
-      const double part = static_cast<double>(kStep) / 1e6;
-      room = std::min(std::max(1.0, rate * 0.1), room + rate * part);
-      once = std::min(std::max(1.0, rate), once + rate * part);
-      const int came = now < model.duration ? std::poisson_distribution<int>(d.load * part)(random) : 0;
-      offered += came;
-      for (int i = 0; i < came; ++i) {
-        held.push_back(now);
-        if (once >= 1) {
-          once -= 1;
-          ++least;
+      const double rate = capacity(d, model.settings, now);
+      const double step_seconds = static_cast<double>(kStep) / 1e6;
+      upper_tokens = std::min(std::max(1.0, rate * 0.1), upper_tokens + rate * step_seconds);
+      lower_tokens = std::min(std::max(1.0, rate), lower_tokens + rate * step_seconds);
+      const int arrivals =
+          now < model.duration ? std::poisson_distribution<int>(d.load * step_seconds)(random) : 0;
+      offered += arrivals;
+      for (int i = 0; i < arrivals; ++i) {
+        waiting.push_back(now);
+        if (lower_tokens >= 1) {
+          lower_tokens -= 1;
+          ++lower_count;
         } else if (d.refused_calls_count) {
-          once -= 1;
+          lower_tokens -= 1;
         }
       }
-      while (!held.empty() && now + way - held.front() > c.target)
-        held.pop_front();  // late: after all others
-      for (; room >= 1 && !held.empty(); room -= 1) {
-        held.pop_front();
-        ++best;
+      while (!waiting.empty() && now + way - waiting.front() > c.target)
+        waiting.pop_front();  // late: after all others
+      for (; upper_tokens >= 1 && !waiting.empty(); upper_tokens -= 1) {
+        waiting.pop_front();
+        ++upper_count;
       }
     }
   }
   const double total = static_cast<double>(std::max<int64_t>(1, offered));
-  return {static_cast<double>(best) / total, static_cast<double>(least) / total};
+  return {static_cast<double>(upper_count) / total, static_cast<double>(lower_count) / total};
 }
 
 }  // namespace umberhoist::emulator
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -113,7 +113,7 @@
   explicit FleetEmulator(FleetModel model);
   ~FleetEmulator();
 
-  void schedule(Time when, std::function<void()> what);  // something that the test does on the way
+  void schedule(Time when, std::function<void()> action);  // something that the test does on the way
   // Killed now, or told to end and killed a while later; back at a time with what its folder would hold.
   void kill(size_t relay, Time back);
   void shut_down(size_t relay, Time killed, Time back);
@@ -122,7 +122,7 @@
   void run();
 
   DestinationModel& destination(int number);  // may be changed on the way
-  const DestinationCounts& counts(int destination) const { return tallies_.at(destination); }
+  const DestinationCounts& counts(int destination) const { return counts_.at(destination); }
   DestinationCounts total() const;
 
  private:
@@ -130,40 +130,43 @@
   struct Host;
   struct Event {
     Time at = 0;
-    uint64_t order = 0;
-    std::function<void()> what;
-    bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
+    uint64_t sequence = 0;
+    std::function<void()> action;
+    bool operator>(const Event& other) const {
+      return at != other.at ? at > other.at : sequence > other.sequence;
+    }
   };
 
-  double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  void hand_in(const DestinationModel& destination);
-  Relay* taker();
+  double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  void submit(const DestinationModel& destination);
+  Relay* choose_relay();
   void start(Relay& relay, bool first);
-  bool may_run_again(const Relay& relay, uint64_t id) const;
-  void happened(Relay& relay, firspool::Event event);
+  bool may_repeat(const Relay& relay, uint64_t id) const;
+  void post_event(Relay& relay, firspool::Event event);
   void step(Relay& relay);
-  void carry_out(Relay& relay, const firspool::Action& action);
-  void call(Relay& relay, const firspool::Send& send);
-  void reach(uint64_t call);
-  void serve(Host& host, uint64_t call);
-  void answer(uint64_t call, firspool::Outcome outcome, Time wait, bool crowded, bool keep);
-  void hang_up(Relay& relay, const Endpoint& endpoint);
-  void judge_cold(const DestinationModel& destination);
+  void execute(Relay& relay, const firspool::Action& action);
+  void start_call(Relay& relay, const firspool::Send& send);
+  void receive_call(uint64_t call);
+  void start_service(Host& host, uint64_t call);
+  void end_call(uint64_t call, firspool::Outcome outcome, Time wait, bool connection_limit_reached,
+                bool keep_connection);
+  void close_idle_connections(Relay& relay, const Endpoint& endpoint);
+  void evaluate_slow_start(const DestinationModel& destination);
 
   FleetModel model_;
   std::mt19937_64 random_;
   Time now_ = 0;
-  uint64_t order_ = 0;
+  uint64_t next_sequence_ = 0;
   uint64_t last_message_ = 0;
   uint64_t last_call_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<std::unique_ptr<Relay>> relays_;
   std::map<Endpoint, Host> hosts_;
-  std::vector<firspool::Member> list_;  // as the last told
-  std::map<int, DestinationCounts> tallies_;
+  std::vector<firspool::Member> host_list_;  // as the last told
+  std::map<int, DestinationCounts> counts_;
   struct Call;
   std::map<uint64_t, Call> calls_;
-  std::discrete_distribution<size_t> front_;
+  std::discrete_distribution<size_t> load_balancer_;
 };
 
 }  // namespace umberhoist::emulator
--- a/emulator/overbooked.h
+++ b/emulator/overbooked.h
@@ -19,21 +19,21 @@
 
   // `overbook`: an ask is taken on while its answer would come within so many time-outs.
   OverloadedDirectory(double asks_per_s, Time timeout, double overbook)
-      : work_(static_cast<Time>(1e6 / asks_per_s)),
+      : service_time_(static_cast<Time>(1e6 / asks_per_s)),
         timeout_(timeout),
-        most_(static_cast<Time>(overbook * static_cast<double>(timeout))) {}
+        max_delay_(static_cast<Time>(overbook * static_cast<double>(timeout))) {}
 
   Reply request(Time now) {
-    const Time done = std::max(free_at_, now) + work_;
-    if (done - now > most_) return {now, false};
-    free_at_ = done;
+    const Time done = std::max(busy_until_, now) + service_time_;
+    if (done - now > max_delay_) return {now, false};
+    busy_until_ = done;
     if (done - now > timeout_) return {now + timeout_, false};  // worked on for nobody
     return {done, true};
   }
 
  private:
-  Time work_, timeout_, most_;
-  Time free_at_ = 0;
+  Time service_time_, timeout_, max_delay_;
+  Time busy_until_ = 0;
 };
 
 }  // namespace umberhoist::emulator
--- a/tests/emulator/fleet_test.cpp
+++ b/tests/emulator/fleet_test.cpp
@@ -32,10 +32,10 @@
   return model;
 }
 
-double part(int64_t some, int64_t all) { return static_cast<double>(some) / static_cast<double>(all); }
+double ratio(int64_t some, int64_t all) { return static_cast<double>(some) / static_cast<double>(all); }
 
 // Each message has its one end, none ran where its class forbids, and no drain was passed over.
-void expect_whole(const DestinationCounts& t, uint64_t seed) {
+void expect_consistent(const DestinationCounts& t, uint64_t seed) {
   EXPECT_GT(t.offered, 0) << "seed " << seed;
   EXPECT_EQ(t.offered, t.delivered + t.refused + t.failed) << "seed " << seed;
   EXPECT_EQ(t.forbidden_repeats, 0) << "seed " << seed;
@@ -43,14 +43,14 @@
 }
 
 // Of 300 relays: one in twenty has five times the mean, and half have almost none.
-std::vector<double> uneven() {
+std::vector<double> uneven_shares() {
   std::vector<double> shares;
   for (int i = 0; i < 300; ++i) shares.push_back(i % 20 == 0 ? 5.0 : i % 2 == 0 ? 0.05 : 1.5);
   return shares;
 }
 
 // Destinations with a limit, and no bound on connections.
-FleetModel limited(double rate, uint64_t seed) {
+FleetModel rate_limited(double rate, uint64_t seed) {
   FleetModel model = small_tables(300, seed);
   for (DestinationModel& d : model.destinations) {
     d.max_connections = 0;
@@ -68,8 +68,8 @@
     FleetEmulator fleet(model);
     fleet.run();
     const DestinationCounts all = fleet.total();
-    EXPECT_GT(part(all.in_time, all.offered), 0.95) << "seed " << seed;
-    EXPECT_LT(part(all.connection_limit_refusals, all.calls), 0.25) << "seed " << seed;
+    EXPECT_GT(ratio(all.in_time, all.offered), 0.95) << "seed " << seed;
+    EXPECT_LT(ratio(all.connection_limit_refusals, all.calls), 0.25) << "seed " << seed;
   }
 }
 
@@ -90,12 +90,12 @@
     fleet.schedule(18 * kSecond, [&] { during = fleet.total(); });
     fleet.run();
     const DestinationCounts all = fleet.total();
-    expect_whole(all, seed);
-    EXPECT_GT(part(all.in_time, all.offered), 0.9) << "seed " << seed;
+    expect_consistent(all, seed);
+    EXPECT_GT(ratio(all.in_time, all.offered), 0.9) << "seed " << seed;
     EXPECT_GT(during.connection_limit_refusals - before.connection_limit_refusals, 0) << "seed " << seed;
     // Calls for each message after the burst, and before it.
-    EXPECT_LT(part(all.calls - during.calls, all.offered - during.offered),
-              1.1 * part(before.calls, before.offered))
+    EXPECT_LT(ratio(all.calls - during.calls, all.offered - during.offered),
+              1.1 * ratio(before.calls, before.offered))
         << "seed " << seed;
   }
 }
@@ -106,8 +106,8 @@
   FleetEmulator fleet(model);
   fleet.run();
   const DestinationCounts all = fleet.total();
-  EXPECT_GT(part(all.in_time, all.offered), 0.95);
-  EXPECT_LT(part(all.new_connections, all.calls), 0.2);
+  EXPECT_GT(ratio(all.in_time, all.offered), 0.95);
+  EXPECT_LT(ratio(all.new_connections, all.calls), 0.2);
 }
 
 // Two hosts of which a rare caller knows nothing: all relays together use both.
@@ -127,14 +127,14 @@
     FleetEmulator fleet(model);
     fleet.run();
     const DestinationCounts& t = fleet.counts(1);
-    EXPECT_GT(part(t.in_time, t.offered), 0.9) << "seed " << seed;
-    EXPECT_LT(part(t.other_refusals, t.calls), 0.1) << "seed " << seed;
+    EXPECT_GT(ratio(t.in_time, t.offered), 0.9) << "seed " << seed;
+    EXPECT_LT(ratio(t.other_refusals, t.calls), 0.1) << "seed " << seed;
   }
 }
 
 // A full table and drained buckets: what will earn no token in its time is given back while its client can
 // still go elsewhere, not held to its last moment.
-TEST(FleetTokens, WhatEarnsNoTokenIsGivenBackWhileItsTimeLasts) {
+TEST(FleetTokens, MessagesThatEarnNoTokenAreRefusedWhileTheirTimeLasts) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = small_tables(300, seed);
     for (DestinationModel& d : model.destinations) {
@@ -145,24 +145,24 @@
     fleet.run();
     const DestinationCounts all = fleet.total();
     EXPECT_GT(all.refused, 0) << "seed " << seed;
-    EXPECT_LT(part(all.refused_late, all.refused), 0.2) << "seed " << seed;
+    EXPECT_LT(ratio(all.refused_late, all.refused), 0.2) << "seed " << seed;
   }
 }
 
 // Everything that a relay's module does in one life, held against its rules.
-class Checked {
+class RulesObserver {
  public:
-  explicit Checked(FleetModel& model) {
+  explicit RulesObserver(FleetModel& model) {
     model.on_step = [this, settings = model.settings](size_t relay, Time now, auto events, auto actions) {
       auto& checker = checkers_.try_emplace(relay, settings).first->second;
       checker.before(now, events);
       checker.after(now, actions);
     };
   }
-  ~Checked() {
+  ~RulesObserver() {
     for (const auto& [relay, checker] : checkers_) {
-      for (const std::string& fault : checker.violations())
-        ADD_FAILURE() << "relay " << relay << ": " << fault;
+      for (const std::string& violation : checker.violations())
+        ADD_FAILURE() << "relay " << relay << ": " << violation;
     }
   }
 
@@ -191,22 +191,22 @@
 
 // Each relay calls it about once a minute: scouts, probes and repeats of all together stay few, it is not
 // pushed over, and what is held still ends.
-TEST(FleetOutage, ADestinationThatEachRelayCallsOnceAMinuteIsNotPushedOver) {
+TEST(FleetOutage, ADestinationThatEachRelayCallsOnceAMinuteIsNotOverloaded) {
   for (const uint64_t seed : {1, 2, 3}) {
     const FleetModel model = outage(5, seed);
     FleetEmulator fleet(model);
     fleet.run();
     const DestinationCounts& t = fleet.counts(1);
     EXPECT_LT(t.max_slow_start_load, model.settings.overload_factor) << "seed " << seed;
-    expect_whole(t, seed);
+    expect_consistent(t, seed);
     // 40 messages come while it is out, and each may be tried a few times before its relay knows.
     EXPECT_LT(t.connect_failures + t.probes, 40 * 6) << "seed " << seed;
-    EXPECT_GT(part(t.delivered, t.offered), 0.8) << "seed " << seed;
+    EXPECT_GT(ratio(t.delivered, t.offered), 0.8) << "seed " << seed;
   }
 }
 
 // Each relay calls it every few seconds: most that is sent comes from relays that know.
-TEST(FleetOutage, RelaysThatSawItFailKeepToTheColdBudgetTogether) {
+TEST(FleetOutage, RelaysThatSawItFailKeepToTheOverloadBudgetTogether) {
   for (const uint64_t seed : {1, 2, 3}) {
     const FleetModel model = outage(100, seed);
     FleetEmulator fleet(model);
@@ -214,67 +214,67 @@
     const DestinationCounts& t = fleet.counts(1);
     EXPECT_GT(t.max_slow_start_load_informed, 0) << "seed " << seed;
     EXPECT_LT(t.max_slow_start_load_informed, model.settings.overload_factor) << "seed " << seed;
-    expect_whole(t, seed);
+    expect_consistent(t, seed);
   }
 }
 
 // Loaded to its capacity before it goes out, with traffic far from even: refusals have slowed every relay,
 // and in the outage each sees it fail but once or twice. These are most of the load when it is back.
-TEST(FleetOutage, RareCallersThatSawItFailTwiceDoNotPushItOver) {
+TEST(FleetOutage, RareCallersThatSawItFailTwiceDoNotOverloadIt) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     FleetModel model = outage(20, seed);
     DestinationModel& d = model.destinations[0];
     d.concurrency = 1;
     d.max_queued = 2;
     d.weight = 24;
-    model.traffic_shares = uneven();
+    model.traffic_shares = uneven_shares();
     FleetEmulator fleet(model);
     fleet.run();
     const DestinationCounts& t = fleet.counts(1);
     EXPECT_LT(t.max_slow_start_load_informed, model.settings.overload_factor) << "seed " << seed;
-    expect_whole(t, seed);
+    expect_consistent(t, seed);
   }
 }
 
 // Seven in ten relays are killed at once and are all back within a second, with their folders.
-TEST(FleetRestart, AKilledHerdThatComesBackTogetherIsServed) {
+TEST(FleetRestart, ManyRelaysRestartedTogetherAreServed) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = small_tables(300, seed);
     for (DestinationModel& d : model.destinations) d.max_connections = 0;
     FleetEmulator fleet(model);
-    const auto herd = [&](Time killed, size_t first, size_t count) {
+    const auto kill_and_restart = [&](Time killed, size_t first, size_t count) {
       for (size_t i = 0; i < count; ++i) {
         const Time back =
             killed + 600'000 + static_cast<Time>(kSecond * static_cast<Time>(i) / static_cast<Time>(count));
         fleet.schedule(killed, [&fleet, i, first, back] { fleet.kill(first + i, back); });
       }
     };
-    herd(12 * kSecond, 0, 210);
-    herd(25 * kSecond, 100, 90);
+    kill_and_restart(12 * kSecond, 0, 210);
+    kill_and_restart(25 * kSecond, 100, 90);
     fleet.run();
     const DestinationCounts all = fleet.total();
-    expect_whole(all, seed);
-    EXPECT_GT(part(all.in_time, all.offered), 0.95) << "seed " << seed;
+    expect_consistent(all, seed);
+    EXPECT_GT(ratio(all.in_time, all.offered), 0.95) << "seed " << seed;
   }
 }
 
 // Traffic far from even: one relay has five times the mean, many have almost none.
 TEST(FleetShares, UnevenTrafficIsServedAsEvenIs) {
   for (const uint64_t seed : {1, 2}) {
-    FleetModel model = limited(50, seed);
-    model.traffic_shares = uneven();
+    FleetModel model = rate_limited(50, seed);
+    model.traffic_shares = uneven_shares();
     FleetEmulator fleet(model);
     fleet.run();
     const DestinationCounts all = fleet.total();
-    EXPECT_GT(part(all.in_time, all.offered), 0.9) << "seed " << seed;
+    EXPECT_GT(ratio(all.in_time, all.offered), 0.9) << "seed " << seed;
   }
 }
 
 // A destination lowers its limit under load: refusals and told waits, and no storm of repeats.
 TEST(FleetLimits, ALoweredLimitIsUsedAndBringsNoStorm) {
   for (const uint64_t seed : {1, 2}) {
-    FleetModel model = limited(60, seed);
-    const Checked checked(model);  // told waits are heeded by each
+    FleetModel model = rate_limited(60, seed);
+    const RulesObserver observer(model);  // told waits are heeded by each
     FleetEmulator fleet(model);
     fleet.schedule(8 * kSecond, [&fleet] {
       for (int i = 0; i < 10; ++i) fleet.destination(i).rate_limit = 30;
@@ -282,8 +282,8 @@
     fleet.run();
     const DestinationCounts all = fleet.total();
     // What it could take: 8 s of all that came, then two thirds.
-    EXPECT_GT(part(all.delivered, all.offered), 0.7) << "seed " << seed;
-    EXPECT_LT(part(all.calls, all.offered), 1.4) << "seed " << seed;
+    EXPECT_GT(ratio(all.delivered, all.offered), 0.7) << "seed " << seed;
+    EXPECT_LT(ratio(all.calls, all.offered), 1.4) << "seed " << seed;
   }
 }
 
@@ -304,7 +304,7 @@
 
 // For 6 s the hosts of three destinations are cut off, and answers are lost; elsewhere connections are reset
 // under requests. Lists come late: a host drains, and relays hear of it within 5 s.
-TEST(FleetSplit, AZoneCutOffWithLateListsDoublesNothing) {
+TEST(FleetSplit, AZoneCutOffWithLateListsRepeatsNothingForbidden) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = mixed(seed);
     for (DestinationModel& d : model.destinations) {
@@ -315,30 +315,30 @@
       if (d.number == 4 || d.number == 5) d.reset_share = 0.05;
       if (d.number == 6) d.hosts.push_back({77, 80});
     }
-    const Checked checked(model);
+    const RulesObserver observer(model);
     FleetEmulator fleet(model);
     fleet.schedule(11 * kSecond, [&fleet] {
-      firspool::Member leaving;
-      leaving.endpoint = {77, 80};
-      leaving.destination = 6;
-      leaving.state = firspool::HostState::kDraining;
-      fleet.update_members({leaving}, 5 * kSecond);
-      leaving.state = firspool::HostState::kRemoved;
-      fleet.schedule(20 * kSecond, [&fleet, leaving] { fleet.update_members({leaving}, 5 * kSecond); });
+      firspool::Member host;
+      host.endpoint = {77, 80};
+      host.destination = 6;
+      host.state = firspool::HostState::kDraining;
+      fleet.update_members({host}, 5 * kSecond);
+      host.state = firspool::HostState::kRemoved;
+      fleet.schedule(20 * kSecond, [&fleet, host] { fleet.update_members({host}, 5 * kSecond); });
     });
     fleet.run();
     const DestinationCounts all = fleet.total();
-    expect_whole(all, seed);
+    expect_consistent(all, seed);
     EXPECT_GT(all.failed, 0) << "seed " << seed;  // unsafe ones that may have run
     for (int i = 6; i < 10; ++i) {                // nobody else pays for it
       const DestinationCounts& t = fleet.counts(i);
-      EXPECT_GT(part(t.in_time, t.offered), 0.97) << "seed " << seed;
+      EXPECT_GT(ratio(t.in_time, t.offered), 0.97) << "seed " << seed;
     }
   }
 }
 
 // A tenth of the relays at a time is told to end, every second one killed outright, while hosts are replaced.
-TEST(FleetRoll, ARollingRestartWhileHostsAreReplacedLosesAndDoublesNothing) {
+TEST(FleetRoll, ARollingRestartWhileHostsAreReplacedLosesAndRepeatsNothing) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = mixed(seed);
     model.duration = 40 * kSecond;
@@ -368,8 +368,8 @@
     }
     fleet.run();
     const DestinationCounts all = fleet.total();
-    expect_whole(all, seed);
-    EXPECT_GT(part(all.in_time, all.offered), 0.95) << "seed " << seed;
+    expect_consistent(all, seed);
+    EXPECT_GT(ratio(all.in_time, all.offered), 0.95) << "seed " << seed;
   }
 }
 
--- a/tests/emulator/soak_test.cpp
+++ b/tests/emulator/soak_test.cpp
@@ -16,18 +16,18 @@
 
 namespace {
 
-int64_t live = 0;  // bytes that this process holds from operator new
+int64_t live_bytes = 0;  // bytes that this process holds from operator new
 
 }  // namespace
 
 void* operator new(size_t size) {
   void* out = std::malloc(size);
   if (out == nullptr) throw std::bad_alloc();
-  live += static_cast<int64_t>(malloc_usable_size(out));
+  live_bytes += static_cast<int64_t>(malloc_usable_size(out));
   return out;
 }
 void operator delete(void* what) noexcept {
-  if (what != nullptr) live -= static_cast<int64_t>(malloc_usable_size(what));
+  if (what != nullptr) live_bytes -= static_cast<int64_t>(malloc_usable_size(what));
   std::free(what);
 }
 void operator delete(void* what, size_t) noexcept { operator delete(what); }
@@ -56,19 +56,19 @@
     m.weight = 5;
     list.push_back(m);
   }
-  struct Out {
+  struct CallInFlight {
     AttemptEnded end;
     Time at = 0;
   };
-  std::vector<Out> out;
-  std::vector<Event> probed;
+  std::vector<CallInFlight> calls_in_flight;
+  std::vector<Event> probe_results;
   std::map<uint64_t, int> attempts;
-  uint64_t last = 0;
-  int64_t early = std::numeric_limits<int64_t>::max();
-  int64_t late = early;
+  uint64_t last_id = 0;
+  int64_t early_min = std::numeric_limits<int64_t>::max();
+  int64_t late_min = early_min;
   constexpr Time kMinute = 60 * kSecond;
   for (Time now = 0; now < 45 * kMinute; now += 50'000) {
-    std::vector<Event> events(std::exchange(probed, {}));
+    std::vector<Event> events(std::exchange(probe_results, {}));
     if (now == 0)
       events.push_back(
           MembersChanged{MembersChanged::Form::kFull, std::make_shared<std::vector<Member>>(list)});
@@ -82,16 +82,16 @@
     }
     if (now % 200'000 == 0) {
       Arrival in;
-      in.id = ++last;
+      in.id = ++last_id;
       in.message_class = static_cast<int>(random() % 2);
       in.destination = static_cast<int>(random() % 6);
       in.due = now + s.classes[0].give_up;
       events.push_back(in);
     }
-    for (const Out& o : out) {
+    for (const CallInFlight& o : calls_in_flight) {
       if (o.at <= now) events.push_back(o.end);
     }
-    std::erase_if(out, [&](const Out& o) { return o.at <= now; });
+    std::erase_if(calls_in_flight, [&](const CallInFlight& o) { return o.at <= now; });
     std::vector<Action> actions;
     policy.step(now, events, actions);
     for (const Event& event : events) {
@@ -100,35 +100,36 @@
     }
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
-        Out o;
+        CallInFlight o;
         o.end.id = send->id;
         o.end.attempt = attempts[send->id]++;
         o.end.endpoint = send->endpoint;
-        constexpr Outcome kBad[] = {Outcome::kRefused, Outcome::kTimeout, Outcome::kReset,
-                                    Outcome::kConnectFailed, Outcome::kError};
+        constexpr Outcome kFailures[] = {Outcome::kRefused, Outcome::kTimeout, Outcome::kReset,
+                                         Outcome::kConnectFailed, Outcome::kError};
         const uint64_t draw = random() % 40;
-        o.end.outcome = draw < std::size(kBad) ? kBad[draw] : Outcome::kOk;
+        o.end.outcome = draw < std::size(kFailures) ? kFailures[draw] : Outcome::kOk;
         o.end.connection_limit_reached = o.end.outcome == Outcome::kRefused && random() % 2 == 0;
         o.end.retry_after =
             o.end.outcome == Outcome::kRefused && !o.end.connection_limit_reached ? kSecond / 2 : 0;
         o.end.final = o.end.outcome == Outcome::kOk;
         o.end.duration = 100'000;
         o.at = now + 100'000;
-        out.push_back(o);
+        calls_in_flight.push_back(o);
       } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
         attempts.erase(refuse->id);
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         attempts.erase(fail->id);
       } else if (const auto* probe = std::get_if<Probe>(&action)) {
-        probed.push_back(ProbeEnded{probe->endpoint, true, 1000, {}});
+        probe_results.push_back(ProbeEnded{probe->endpoint, true, 1000, {}});
       }
     }
     // The least that is held: what is only out or waiting goes, what is forgotten to be dropped stays.
-    if (now > 5 * kMinute && now <= 15 * kMinute) early = std::min(early, live);
-    if (now > 35 * kMinute) late = std::min(late, live);
+    if (now > 5 * kMinute && now <= 15 * kMinute) early_min = std::min(early_min, live_bytes);
+    if (now > 35 * kMinute) late_min = std::min(late_min, live_bytes);
   }
-  EXPECT_GT(last, 13'000u);
-  EXPECT_LT(late - early, 8 * 1024) << "held after 5 to 15 min " << early << ", after 35 to 45 min " << late;
+  EXPECT_GT(last_id, 13'000u);
+  EXPECT_LT(late_min - early_min, 8 * 1024)
+      << "held after 5 to 15 min " << early_min << ", after 35 to 45 min " << late_min;
 }
 
 }  // namespace
