--- a/emulator/days.cpp
+++ b/emulator/days.cpp
@@ -18,7 +18,7 @@
   for (DestinationModel& d : model.destinations) configure(d);
 }
 
-// A limit that all relays share, that refused calls use up too, and whose refusals the settings price.
+// A rate limit shared by all relays that refused calls use up too, with a price on refusals.
 void set_shared_limit(FleetModel& model, double rate) {
   model.settings.price_refused = 0.1;
   for_each_destination(model, [&](DestinationModel& d) {
@@ -36,7 +36,7 @@
                    {kLimitRestored, &DestinationModel::rate_limit, kLimit}};
 }
 
-// One relay in a hundred is asked a hundred times as often as another.
+// One relay in a hundred gets a hundred times as much traffic as the others.
 std::vector<double> skewed_shares(int relays) {
   std::vector<double> shares(static_cast<size_t>(relays), 1);
   for (size_t i = 0; i < shares.size(); i += 100) shares[i] = 100;
@@ -195,7 +195,7 @@
 
 constexpr Time kStep = 10'000;
 
-// Calls a second that it can take, cold or warm; a limit above that changes nothing.
+// Calls a second that the destination can serve at a time, including during slow start, capped by its limit.
 double capacity(const DestinationModel& d, const firspool::Settings& s, Time now) {
   if (now >= d.down_from && now < d.down_to) return 0;
   double rate = static_cast<double>(d.concurrency) * static_cast<double>(d.hosts.size()) * 1e6 /
@@ -218,9 +218,9 @@
   for (DestinationModel& d : all) {
     const firspool::ClassSettings& c = model.settings.classes.at(d.message_class);
     const Time way = 2 * model.one_way_latency + d.service_time;
-    std::deque<Time> waiting;  // when each was handed in
-    double upper_tokens = 0;   // for whom it is held until there is
-    double lower_tokens = 0;   // for who tries once
+    std::deque<Time> waiting;  // submission time of each waiting message
+    double upper_tokens = 0;   // capacity for the upper bound: messages wait for it
+    double lower_tokens = 0;   // capacity for the lower bound: messages are tried once
     for (Time now = 0; now < model.duration + c.give_up; now += kStep) {
       for (const Change& change : model.changes) {
         if (change.at <= now && now < change.at + kStep) d.*change.field = change.value;
@@ -241,8 +241,8 @@
           lower_tokens -= 1;
         }
       }
-      while (!waiting.empty() && now + way - waiting.front() > c.target)
-        waiting.pop_front();  // late: after all others
+      // Too late: sent after all others, so not counted.
+      while (!waiting.empty() && now + way - waiting.front() > c.target) waiting.pop_front();
       for (; upper_tokens >= 1 && !waiting.empty(); upper_tokens -= 1) {
         waiting.pop_front();
         ++upper_count;
--- a/emulator/days.h
+++ b/emulator/days.h
@@ -1,5 +1,5 @@
-// Days by name, for tests and measurements alike: what happens to ten destinations, each asked for 45
-// messages a second, through a fleet of any size. And what each could have come to at most and at least.
+// Named scenarios for tests and benchmarks: what happens to ten destinations, each with 45 messages a second,
+// for a fleet of any size. Also bounds on the share of messages that can be delivered in time in each.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,26 @@
 struct DayScenario {
   std::string name;
   std::string description;        // one line
-  Time limit_change_at = 0;       // when its limit changes; 0: it does not
-  double limit_after_change = 0;  // of each destination from then on
+  Time limit_change_at = 0;       // when the rate limit changes; 0: it does not
+  double limit_after_change = 0;  // rate limit of each destination from then on
   void (*configure)(FleetModel&) = nullptr;
 };
 
 const std::vector<DayScenario>& day_scenarios();
 
-// Throws std::invalid_argument that says what was expected: for an unknown name, and for no relays.
+// Throws std::invalid_argument, naming what was expected, for an unknown name and if `relays` is less than 1.
 FleetModel day_model(const std::string& name, int relays, uint64_t seed);
 
-// A day on which one destination goes out and comes back cold, drawn from the seed: how long it is out, what
-// it can do, what it is asked for, how even the traffic is, the settings' budget, whether probes are allowed,
-// and which relays are killed meanwhile and are back around its return. Throws std::invalid_argument for no
-// relays.
+// A random scenario, determined by the seed: one destination has an outage and recovers with a slow start.
+// Random are the length of the outage, its capacity and load, the distribution of the traffic, the overload
+// budget of the settings, whether probes are allowed, and which relays are killed during the outage and
+// restarted around its end. Throws std::invalid_argument if `relays` is less than 1.
 FleetModel random_outage_model(int relays, uint64_t seed);
 
-// The share of messages in time where the true state of all destinations is seen at once: each message is
-// held in one place and sent when its destination has room, those that can still be in time first. No relay,
-// no refusal, no message lost with a relay. And where each is tried once, as it comes, by nobody who knows.
+// Bounds on the share of messages delivered in time. Upper bound: the true state of all destinations is known
+// at once, all messages are held in one place and sent when their destination has capacity, those that can
+// still be in time first; no relay, no refusal and no loss with a relay. Lower bound: each message is tried
+// once, when it is submitted, without knowledge of the destination's state.
 struct ScoreBounds {
   double upper = 0;
   double lower = 0;
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -16,21 +16,22 @@
   std::unique_ptr<Policy> policy;
   std::vector<firspool::Event> events;
   bool step_planned = false;
-  uint64_t process = 0;  // its process; what belongs to an earlier one is void
+  uint64_t process = 0;  // number of this process; events of an earlier process are ignored
   bool up = false;
-  bool stopping = false;  // the front gives it nothing more
+  bool stopping = false;  // gets no new messages
   struct OpenMessage {
     Arrival arrival;
     int attempts = 0;
     bool in_flight = false;
-    Time sent = 0;               // of the attempt that is out
-    Time maybe_executed_at = 0;  // when the first attempt was sent that may have run; 0: none
+    Time sent = 0;  // of the attempt in flight
+    // When the first attempt that may have been executed was sent; 0: none.
+    Time maybe_executed_at = 0;
   };
   std::map<uint64_t, OpenMessage> open_messages;
   std::map<int, DestinationState> saved_states;
-  std::map<Endpoint, Time> not_ready_since;  // hosts told to drain or gone, since when
-  std::map<Endpoint, std::vector<Time>>
-      idle_connections;  // connections, since when; the most recently used last
+  std::map<Endpoint, Time> not_ready_since;  // hosts reported as draining or removed, since when
+  // Idle connections by the time they became idle; the most recently used last.
+  std::map<Endpoint, std::vector<Time>> idle_connections;
   Time timer_at = 0;
 };
 
@@ -39,13 +40,16 @@
   int connections = 0;
   int serving = 0;
   std::deque<uint64_t> queue;
-  Time next_admission = 0;  // of the destination's rate: when the next call may come (on the first host)
+  // When the destination's rate limit admits the next call (only on its first host).
+  Time next_admission = 0;
   struct ReceivedCall {
     Time at = 0;
     size_t relay = 0;
   };
-  std::vector<ReceivedCall> received_calls;  // calls that came to the destination (on the first host)
-  std::set<size_t> informed_relays;  // relays that saw a call or probe fail in its outage (on the first host)
+  // Calls received by the destination (only on its first host).
+  std::vector<ReceivedCall> received_calls;
+  // Relays that saw a call or probe fail during its outage (only on its first host).
+  std::set<size_t> informed_relays;
 };
 
 struct FleetEmulator::Call {
@@ -124,7 +128,7 @@
     for (const Endpoint& endpoint : d.hosts) hosts_[endpoint].destination = d.number;
     if (d.load > 0) schedule(0, [this, &d] { submit(d); });
     if (d.down_to > d.down_from) {
-      // Those that were out there are reset.
+      // Resets the calls in flight at the destination.
       schedule(d.down_from, [this, &d] {
         std::vector<uint64_t> lost;
         for (const auto& [number, call] : calls_) {
@@ -193,7 +197,7 @@
   for (const DestinationModel& d : model_.destinations) evaluate_slow_start(d);
 }
 
-// The front's choice, or the next that takes messages.
+// The relay chosen by the load balancer, or the next one that accepts messages.
 FleetEmulator::Relay* FleetEmulator::choose_relay() {
   const size_t first = load_balancer_(random_);
   for (size_t i = 0; i < relays_.size(); ++i) {
@@ -203,13 +207,13 @@
   return nullptr;
 }
 
-// The next message for a destination, to a relay as the front deals them out.
+// Schedules the next message for a destination and submits one to the relay chosen by the load balancer.
 void FleetEmulator::submit(const DestinationModel& d) {
   if (now_ >= model_.duration) return;
   schedule(now_ + 1 + static_cast<Time>(std::exponential_distribution<double>(d.load)(random_) * 1e6),
            [this, &d] { submit(d); });
   Relay* const available = choose_relay();
-  if (available == nullptr) return;  // nobody is there: it is not offered
+  if (available == nullptr) return;  // no relay is available: not counted as offered
   Relay& relay = *available;
   Arrival in;
   in.id = ++last_message_;
@@ -235,7 +239,8 @@
   MembersChanged list;
   list.members = std::make_shared<std::vector<Member>>(host_list_);
   post_event(relay, list);
-  for (const Member& member : host_list_) {  // what it was not there to be told
+  // Changes from before this process was started.
+  for (const Member& member : host_list_) {
     if (member.state != HostState::kReady) relay.not_ready_since.try_emplace(member.endpoint, now_);
   }
   if (first) return;
@@ -251,7 +256,7 @@
   }
 }
 
-// Its connections end with it, and what was out may have run.
+// Closes the relay's connections; its calls in flight may have been executed.
 void FleetEmulator::kill(size_t number, Time back) {
   Relay& relay = *relays_.at(number);
   if (!relay.up) return;
@@ -281,7 +286,7 @@
   for (const auto& entry : relays_) {
     schedule(now_ + static_cast<Time>(random_fraction() * static_cast<double>(within)),
              [this, update, relay = entry.get()] {
-               if (!relay->up) return;  // it reads the list when it is back
+               if (!relay->up) return;  // it reads the list when it is restarted
                for (const Member& member : *update) {
                  if (member.state == HostState::kReady) {
                    relay->not_ready_since.erase(member.endpoint);
@@ -395,7 +400,7 @@
   schedule(now_ + send.timeout, [this, number] { end_call(number, Outcome::kTimeout, 0, false, false); });
 }
 
-// A call's last byte comes to its host.
+// The last byte of a call reaches its host.
 void FleetEmulator::receive_call(uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end()) return;
@@ -408,7 +413,7 @@
     hosts_.at(d.hosts.front()).informed_relays.insert(call.relay->number);
     return end_call(number, Outcome::kConnectFailed, 0, false, false);
   }
-  if (now_ >= d.unresponsive_from && now_ < d.unresponsive_to) return;  // nothing comes back
+  if (now_ >= d.unresponsive_from && now_ < d.unresponsive_to) return;  // no answer
   ++counts.calls;
   Host& first = hosts_.at(d.hosts.front());
   first.received_calls.push_back({now_, call.relay->number});
@@ -421,7 +426,7 @@
     ++host.connections;
   }
   if (d.rate_limit > 0) {
-    // So many calls in each second, at once or spread.
+    // Admits this many calls a second, at once or spread.
     const Time gap = static_cast<Time>(1e6 / d.rate_limit);
     if (first.next_admission > now_ + kSecond) {
       ++counts.other_refusals;
@@ -445,7 +450,7 @@
                                                  2.0 / static_cast<double>(d.service_time))(random_));
   schedule(now_ + duration, [this, number, endpoint] {
     Host& served = hosts_.at(endpoint);
-    if (served.serving == 0) return;  // it went down meanwhile
+    if (served.serving == 0) return;  // it went down in the meantime
     --served.serving;
     const DestinationModel& model = destination(served.destination);
     const bool silent = now_ >= model.unresponsive_from && now_ < model.unresponsive_to;
@@ -469,9 +474,9 @@
   if (it == calls_.end()) return;
   const Call call = it->second;
   calls_.erase(it);
-  const bool had_connection =
-      outcome != Outcome::kConnectFailed && !connection_limit_reached;  // it had a connection there
-  // What is under way when its relay stops waiting comes to a connection that is closed.
+  // The call had a connection there.
+  const bool had_connection = outcome != Outcome::kConnectFailed && !connection_limit_reached;
+  // An answer that arrives after the relay stopped waiting finds the connection closed.
   const Time gives_up = call.sent + call.send.timeout;
   const bool immediate = outcome == Outcome::kTimeout || outcome == Outcome::kCancelled;
   Time arrives = immediate ? now_ : now_ + model_.one_way_latency;
@@ -518,15 +523,17 @@
   });
 }
 
-// Rule four: the most that came within a fall window while it was cold, against what it could do in that
-// time; and the most of this that came from relays which saw it fail, where they sent two thirds of it.
+// Records the maximum load within an overload window during slow start, relative to the destination's
+// capacity in that window; and the same for windows in which relays that had seen it fail sent at least two
+// thirds of the load.
 void FleetEmulator::evaluate_slow_start(const DestinationModel& d) {
   const Settings& s = model_.settings;
   if (d.down_to <= d.down_from || s.overload_window <= 0) return;
   const Host& host = hosts_.at(d.hosts.front());
   const double full_rate = static_cast<double>(d.concurrency) * static_cast<double>(d.hosts.size()) * 1e6 /
                            static_cast<double>(d.service_time);
-  const auto capacity_until = [&](Time t) {  // calls that it could serve from its return up to then
+  // Calls that it could serve from its recovery until time t.
+  const auto capacity_until = [&](Time t) {
     const double age = static_cast<double>(std::clamp<Time>(t - d.down_to, 0, s.slow_start)) / 1e6;
     const double all = std::max(1e-9, static_cast<double>(s.slow_start) / 1e6);
     return full_rate * (s.start_capacity * age + (1 - s.start_capacity) * age * age / (2 * all));
@@ -544,7 +551,7 @@
       sent_by_informed -= host.informed_relays.contains(host.received_calls[first++].relay);
     }
     const double sent = static_cast<double>(i + 1 - first);
-    // Within its first window it is allowed what it can do from its return on.
+    // The budget of the first window starts at the recovery.
     const Time begins = std::max(from, d.down_to);
     const double budget =
         s.overload_factor * (capacity_until(begins + s.overload_window) - capacity_until(begins));
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -1,9 +1,9 @@
-// A fleet in virtual time: one real decision module for each relay, against a few modelled destinations. What
-// is harmless in one relay and harmful in three hundred shows here, in one process, on a made-up clock.
+// Simulates a fleet in virtual time: one real policy per relay, against a few modelled destinations. It
+// shows, in one process, effects that are harmless with one relay and harmful with three hundred.
 //
-// A relay is modelled as the daemon's shell is: it keeps idle connections, and starts a call on a fresh one
-// where it has none. A host holds so many connections, serves so many calls at once, and queues a few. A run
-// is deterministic for a seed: events at one time happen in the order in which they were planned.
+// A relay is modelled as the daemon behaves: it keeps idle connections and opens a new one if none is idle. A
+// host holds a limited number of connections, serves a limited number of calls at once and queues a few. A
+// run is deterministic for a seed: events at the same time happen in the order in which they were scheduled.
 #pragma once
 
 #include <cstdint>
@@ -28,84 +28,94 @@
   int number = 0;
   int kind = 0;
   std::vector<Endpoint> hosts;
-  double weight = 1;  // as the list tells it: calls a second that it takes from all relays together
-  // Each host of it:
+  double weight = 1;  // in the host list: calls a second that it accepts from all relays together
+  // Per host:
   Time service_time = 100'000;
   int concurrency = 4;      // calls served at once
-  int max_queued = 8;       // calls that wait for a place
-  int max_connections = 0;  // that it holds at most, idle ones counted; 0: any number
-  // The whole of it:
-  double rate_limit = 0;             // calls a second above which it turns away; 0: none
-  bool refused_calls_count = false;  // whether calls that it turns away use the rate up too
-  double retry_after_share = 0;      // of these refusals, those that tell to wait
-  Time retry_after = 0;              // and for how long
-  Time down_from = 0;                // from then on it refuses connections
-  Time down_to = 0;                  // and is back, cold, from here on
-  Time unresponsive_from =
-      0;  // from then on nothing comes back: what came before runs on, its answer is lost
+  int max_queued = 8;       // calls that wait to be served
+  int max_connections = 0;  // including idle ones; 0: unlimited
+  // Per destination:
+  double rate_limit = 0;             // calls a second above which it refuses; 0: none
+  bool refused_calls_count = false;  // whether refused calls use up the limit too
+  double retry_after_share = 0;      // share of these refusals that ask for a wait
+  Time retry_after = 0;              // the wait that they ask for
+  Time down_from = 0;                // connections are refused from this time
+  // From this time it accepts connections again, in slow start.
+  Time down_to = 0;
+  // In this interval nothing is answered: calls received before it are executed, but their answers are lost.
+  Time unresponsive_from = 0;
   Time unresponsive_to = 0;
-  double reset_share = 0;  // of the calls that it serves, those whose connection is reset before the answer
-  double load = 0;         // messages a second handed in for it, over all relays
-  int message_class = 0;   // of these
+  double reset_share = 0;  // share of the served calls whose connection is reset before the answer
+  double load = 0;         // messages a second submitted for it, over all relays
+  int message_class = 0;   // class of these messages
 };
 
-struct Change {  // of destinations, on the way
+// Sets a field of all destinations at a given time.
+struct Change {
   Time at = 0;
   double DestinationModel::*field = nullptr;
   double value = 0;
 };
 
-struct MassRestart {  // relays that are killed at once, and come back within a second of each other
+// A share of the relays is killed at once; they are restarted within a second of each other.
+struct MassRestart {
   Time killed_at = 0;
-  double share = 0;   // of all; 0: none
-  Time downtime = 0;  // until the first of them is back
+  double share = 0;   // of all relays; 0: none
+  Time downtime = 0;  // until the first of them is restarted
 };
 
 struct FleetModel {
-  firspool::Settings settings;  // `relays` says how many
+  firspool::Settings settings;  // `relays` is the size of the fleet
   std::vector<DestinationModel> destinations;
-  std::vector<Change> changes;  // each of all destinations
+  std::vector<Change> changes;
   MassRestart mass_restart;
-  std::vector<double> traffic_shares;  // of the traffic, for each relay; empty: alike
+  std::vector<double> traffic_shares;  // share of the traffic per relay; empty: even
   Time one_way_latency = 20'000;       // to a host
-  int handshake_round_trips = 2;       // round trips that a new connection takes
-  Time duration = 30 * kSecond;        // messages are handed in for so long
+  int handshake_round_trips = 2;       // to open a connection
+  Time duration = 30 * kSecond;        // messages are submitted for this long
   uint64_t seed = 1;
-  // Sees each step of each relay's module.
+  // Called after each step of each relay's policy.
   std::function<void(size_t relay, Time, std::span<const firspool::Event>, std::span<const firspool::Action>)>
       on_step;
 };
 
-struct DestinationCounts {  // of one destination
+// Counts for one destination.
+struct DestinationCounts {
   int64_t offered = 0;
   int64_t delivered = 0;
   int64_t in_time = 0;
   int64_t refused = 0;
-  int64_t refused_late = 0;  // of these, in the last second of their time
+  int64_t refused_late = 0;  // of these, in the last second of their lifetime
   int64_t failed = 0;
-  int64_t forbidden_repeats =
-      0;  // calls that its class forbids, as an earlier one may have run, also before a restart
-  int64_t calls_after_drain =
-      0;              // calls sent to a host a grace after its relay was told that it drains or is gone
-  int64_t calls = 0;  // that reached a host which was up
+  // Calls that the class forbids because an earlier one may have been executed, also before a restart.
+  int64_t forbidden_repeats = 0;
+  // Calls sent to a host more than the drain grace after the relay was notified that it is draining or
+  // removed.
+  int64_t calls_after_drain = 0;
+  int64_t calls = 0;                      // received by a host that was up
   int64_t new_connections = 0;            // of these, on a new connection
-  int64_t connection_limit_refusals = 0;  // turned away for want of a place among its connections
-  int64_t other_refusals = 0;             // turned away for another reason
-  int64_t connect_failures = 0;           // that found it down
+  int64_t connection_limit_refusals = 0;  // refused because the host's connection limit was reached
+  int64_t other_refusals = 0;             // refused for another reason
+  int64_t connect_failures = 0;           // calls to a host that was down
   int64_t probes = 0;
-  // The most that was sent in a fall window after its return, in parts of what it could do then.
+  // Maximum load within an overload window of a recovering destination, as a multiple of its capacity at that
+  // time.
   double max_slow_start_load = 0;
-  double max_slow_start_load_informed = 0;  // and where relays that saw it fail sent two thirds of this
-  // Returns after which more came within a fall window than a budget of N calls and what chance adds to it,
-  // twice the root of N and two more; and of these, those on which it were relays that saw it fail.
+  // The same, only for windows in which relays that had seen it fail sent at least two thirds of the load.
+  double max_slow_start_load_informed = 0;
+  // Recoveries with an overload window that got more than N + 2 * sqrt(N) + 2 calls, where N is the window's
+  // budget: the settings' overload factor times the capacity. And of these, those with such a window in which
+  // relays that had seen it fail sent at least two thirds of the load.
   int64_t overloads = 0;
   int64_t overloads_informed = 0;
-  double max_overload_excess = 0;  // the most that came over N from those, in roots of N
+  // Maximum of (load - N) / sqrt(N) over the windows in which those relays sent two thirds of the load.
+  double max_overload_excess = 0;
 
-  DestinationCounts& operator+=(const DestinationCounts& other);  // of the worst, the worse
+  // Adds the counts and keeps the larger of the maxima.
+  DestinationCounts& operator+=(const DestinationCounts& other);
 };
 
-// Settings as a deployment of so many relays is usually given them: one class, safe to repeat.
+// Typical settings of a deployment with this many relays: one class, safe to repeat.
 firspool::Settings typical_settings(int relays);
 
 class FleetEmulator {
@@ -113,15 +123,17 @@
   explicit FleetEmulator(FleetModel model);
   ~FleetEmulator();
 
-  void schedule(Time when, std::function<void()> action);  // something that the test does on the way
-  // Killed now, or told to end and killed a while later; back at a time with what its folder would hold.
+  // Runs an action of the caller at a given time.
+  void schedule(Time when, std::function<void()> action);
+  // Kills a relay now, or announces its end and kills it at a given time; restarts it at `back` with the
+  // state that its folder would hold.
   void kill(size_t relay, Time back);
   void shut_down(size_t relay, Time killed, Time back);
-  // Tells all relays of members, each by itself within a time.
+  // Notifies all relays of changed hosts, each at a random time within `within`.
   void update_members(std::vector<firspool::Member> members, Time within);
   void run();
 
-  DestinationModel& destination(int number);  // may be changed on the way
+  DestinationModel& destination(int number);  // may be changed during the run
   const DestinationCounts& counts(int destination) const { return counts_.at(destination); }
   DestinationCounts total() const;
 
@@ -162,7 +174,7 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<std::unique_ptr<Relay>> relays_;
   std::map<Endpoint, Host> hosts_;
-  std::vector<firspool::Member> host_list_;  // as the last told
+  std::vector<firspool::Member> host_list_;  // host list after the last update
   std::map<int, DestinationCounts> counts_;
   struct Call;
   std::map<uint64_t, Call> calls_;
--- a/emulator/overbooked.h
+++ b/emulator/overbooked.h
@@ -1,6 +1,6 @@
-// A directory service that takes so many asks a second from a whole fleet. What it has begun it finishes,
-// also for an asker that has stopped waiting; where an answer would take too long it turns the ask away at
-// once.
+// Model of a directory service that serves a limited number of requests a second from a whole fleet. A
+// request that was accepted is processed to the end, even if the client has stopped waiting; a request that
+// would take too long is refused at once.
 #pragma once
 
 #include <algorithm>
@@ -13,11 +13,11 @@
   using Time = int64_t;  // microseconds
 
   struct Reply {
-    Time at = 0;  // when the asker knows
+    Time at = 0;  // when the client gets the result
     bool served = false;
   };
 
-  // `overbook`: an ask is taken on while its answer would come within so many time-outs.
+  // `overbook`: a request is accepted while its reply would take at most this many timeouts.
   OverloadedDirectory(double asks_per_s, Time timeout, double overbook)
       : service_time_(static_cast<Time>(1e6 / asks_per_s)),
         timeout_(timeout),
@@ -27,7 +27,7 @@
     const Time done = std::max(busy_until_, now) + service_time_;
     if (done - now > max_delay_) return {now, false};
     busy_until_ = done;
-    if (done - now > timeout_) return {now + timeout_, false};  // worked on for nobody
+    if (done - now > timeout_) return {now + timeout_, false};  // processed although the client gave up
     return {done, true};
   }
 
--- a/tests/emulator/cold_test.cpp
+++ b/tests/emulator/cold_test.cpp
@@ -1,5 +1,5 @@
-// What a returning destination is sent by all relays together, held against the budget that the settings
-// allow.
+// The load on a recovering destination from all relays together, checked against the overload budget of the
+// settings.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -9,7 +9,7 @@
 namespace umberhoist::emulator {
 namespace {
 
-// How many plays of each size: UMBERHOIST_SEEDS=1000 ctest -R ColdBudget plays as many as scripts/soak does.
+// Number of runs per fleet size: UMBERHOIST_SEEDS=1000 ctest -R ColdBudget does as many as scripts/soak.
 uint64_t run_count() {
   const char* wanted = std::getenv("UMBERHOIST_SEEDS");
   return wanted == nullptr ? 60 : std::stoull(wanted);
@@ -17,9 +17,10 @@
 
 class ColdBudget : public ::testing::TestWithParam<int> {};
 
-// Each relay has a bucket of its own, was told of the outage or not, and learns of the return at another
-// time; some are killed and come back around it with their folders. What comes over N and twice the root of N
-// and two is no chance any more, and counts where those sent two thirds of it that had seen it fail.
+// Each relay has its own token bucket, was notified of the outage or not, and learns of the recovery at
+// another time; some are killed and restarted with their saved state around the recovery. A load of more than
+// N + 2 * sqrt(N) + 2 calls, with N the budget, is no random excess any more; it counts if relays that had
+// seen the destination fail sent at least two thirds of it.
 TEST_P(ColdBudget, IsKeptByTheRelaysThatSawItFailTogether) {
   DestinationCounts all;
   for (uint64_t seed = 1; seed <= run_count(); ++seed) {
@@ -41,14 +42,15 @@
   return fleet.total();
 }
 
-// Of 3,000 days those on which the budget was passed before. Twelve scouts came in 2.3 s, of relays that each
-// sent their even part of 1.5 a second, where N for that time was 4.0.
+// One of 3,000 random scenarios, which violated the budget before. Twelve trial calls were sent within 2.3 s,
+// because each relay sent its even share of 1.5 a second, while N for that time was 4.0.
 TEST(ColdBudgetOf, AFleetsTrialCallsIsKeptWhereTheDestinationIsSmall) {
   EXPECT_EQ(run_scenario(20, 345).overloads_informed, 0);
 }
 
-// Two relays that were killed with six messages each, which their pace had held back, sent all at once. The
-// second day fell too, and does not with the pace kept alone.
+// Two relays were killed with six messages each, which their pacing rate had held back, and sent all of them
+// at once after the restart. The second scenario also violated the budget, and passes with the saved pacing
+// rate alone.
 TEST(ColdBudgetOf, RestartedRelaysWithMessagesHeldByPacingIsKept) {
   EXPECT_EQ(run_scenario(20, 483).overloads_informed, 0);
   EXPECT_EQ(run_scenario(30, 268).overloads_informed, 0);
--- a/tests/emulator/days_test.cpp
+++ b/tests/emulator/days_test.cpp
@@ -1,4 +1,5 @@
-// The named days, each for a case that one relay does not show. Three of the ten destinations are played.
+// The named scenarios, each for an effect that does not occur with one relay. Three of the ten destinations
+// are simulated.
 #include "emulator/days.h"
 
 #include <gtest/gtest.h>
@@ -30,8 +31,8 @@
 double ratio(int64_t some, int64_t of) { return static_cast<double>(some) / static_cast<double>(of); }
 double in_time_share(const DestinationCounts& t) { return ratio(t.in_time, t.offered); }
 
-// In time without the cut below the own rate 0.43 and 0.39 with 100 and 300 relays, without the quick regain
-// 0.47 and 0.46, on a fall of 6 s.
+// Share in time without the first reduction below the own rate: 0.43 and 0.39 with 100 and 300 relays;
+// without the fast growth after a quiet span: 0.47 and 0.46, with a limit lowered for 6 s.
 TEST(FleetDays, ALimitThatIsLoweredToAThirdAndRestored) {
   const std::map<int, double> min_shares = {{3, 0.8}, {100, 0.5}, {300, 0.4}};
   for (const auto& [relays, share] : min_shares) {
@@ -41,8 +42,9 @@
   }
 }
 
-// Heeding a wait is not enough: at its end all who were told come back. Without the cut on told waits 0.28 in
-// time, and four calls at the limit for each served one.
+// Keeping the requested wait is not enough: at its end all relays that were asked to wait return. Without
+// reducing the pacing rate on such refusals 0.28 were in time, with four calls refused at the limit for each
+// served one.
 TEST(FleetDays, AWaitRequestedOfAllRelaysInTheSameMillisecond) {
   const DestinationCounts t = run_scenario("clump", 100);
   EXPECT_GT(in_time_share(t), 0.65);
@@ -83,7 +85,8 @@
   EXPECT_LT(ratio(t.connection_limit_refusals, t.delivered), 0.45);
 }
 
-// What a day could have come to bounds what three relays make of it: else the model or the bound is wrong.
+// The result of three relays has to stay below the upper bound of the scenario: otherwise the model or the
+// bound is wrong.
 TEST(FleetDays, EachScenarioStaysUnderItsUpperBound) {
   for (const std::string day : {"limit-falls", "clump", "out-cold"}) {
     const ScoreBounds bound = score_bounds(day_model(day, 3, 1));
--- a/tests/emulator/fleet_test.cpp
+++ b/tests/emulator/fleet_test.cpp
@@ -1,4 +1,4 @@
-// What three hundred relays do together to one destination. Each test plays the real decision module.
+// Effects of three hundred relays together on one destination. Each test runs the real policy.
 #include "emulator/fleet.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace umberhoist::emulator {
 namespace {
 
-// Ten destinations of a kind, each with a host or two that holds few connections.
+// Ten destinations of one kind, each with one host that accepts few connections.
 FleetModel small_tables(int relays, uint64_t seed) {
   FleetModel model;
   model.settings = typical_settings(relays);
@@ -34,7 +34,8 @@
 
 double ratio(int64_t some, int64_t all) { return static_cast<double>(some) / static_cast<double>(all); }
 
-// Each message has its one end, none ran where its class forbids, and no drain was passed over.
+// Each message ended once, none was executed again where its class forbids it, and no call was sent to a host
+// after its drain grace.
 void expect_consistent(const DestinationCounts& t, uint64_t seed) {
   EXPECT_GT(t.offered, 0) << "seed " << seed;
   EXPECT_EQ(t.offered, t.delivered + t.refused + t.failed) << "seed " << seed;
@@ -42,14 +43,14 @@
   EXPECT_EQ(t.calls_after_drain, 0) << "seed " << seed;
 }
 
-// Of 300 relays: one in twenty has five times the mean, and half have almost none.
+// Traffic shares of 300 relays: one in twenty gets five times the mean, and half get almost nothing.
 std::vector<double> uneven_shares() {
   std::vector<double> shares;
   for (int i = 0; i < 300; ++i) shares.push_back(i % 20 == 0 ? 5.0 : i % 2 == 0 ? 0.05 : 1.5);
   return shares;
 }
 
-// Destinations with a limit, and no bound on connections.
+// Destinations with a rate limit and no connection limit.
 FleetModel rate_limited(double rate, uint64_t seed) {
   FleetModel model = small_tables(300, seed);
   for (DestinationModel& d : model.destinations) {
@@ -61,7 +62,7 @@
   return model;
 }
 
-// A host with few connections, and three hundred relays that would each keep one idle.
+// A host that accepts few connections, and three hundred relays that would each keep an idle one.
 TEST(FleetConnections, IdleOnesOfAllRelaysDoNotFillASmallTable) {
   for (const uint64_t seed : {1, 2}) {
     const FleetModel model = small_tables(300, seed);
@@ -73,8 +74,8 @@
   }
 }
 
-// For 5 s half as much again comes for hosts with few connections: all relays pay handshakes at once, and it
-// does not outlast the burst.
+// For 5 s hosts with few connections get half as much traffic again: all relays open connections at once. The
+// effect must not outlast the burst.
 TEST(FleetConnections, ABurstOfHandshakesAtSmallTablesIsOverWhenItEnds) {
   for (const uint64_t seed : {1, 2}) {
     const FleetModel model = small_tables(300, seed);
@@ -93,14 +94,14 @@
     expect_consistent(all, seed);
     EXPECT_GT(ratio(all.in_time, all.offered), 0.9) << "seed " << seed;
     EXPECT_GT(during.connection_limit_refusals - before.connection_limit_refusals, 0) << "seed " << seed;
-    // Calls for each message after the burst, and before it.
+    // Calls per message after the burst, compared with before it.
     EXPECT_LT(ratio(all.calls - during.calls, all.offered - during.offered),
               1.1 * ratio(before.calls, before.offered))
         << "seed " << seed;
   }
 }
 
-// The same hosts and three relays: the few idle connections do no harm, and are kept.
+// The same hosts with three relays: the few idle connections do no harm and are kept.
 TEST(FleetConnections, FewRelaysKeepTheirs) {
   const FleetModel model = small_tables(3, 1);
   FleetEmulator fleet(model);
@@ -110,7 +111,7 @@
   EXPECT_LT(ratio(all.new_connections, all.calls), 0.2);
 }
 
-// Two hosts of which a rare caller knows nothing: all relays together use both.
+// A relay that rarely calls knows nothing of the two hosts: all relays together have to use both.
 TEST(FleetChoice, RareCallersSpreadOverTheHostsOfADestination) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model;
@@ -122,7 +123,7 @@
     d.concurrency = 1;
     d.max_queued = 2;
     d.weight = 20;
-    d.load = 10;  // half of what both can do
+    d.load = 10;  // half of the capacity of both hosts
     model.destinations.push_back(d);
     FleetEmulator fleet(model);
     fleet.run();
@@ -132,8 +133,8 @@
   }
 }
 
-// A full table and drained buckets: what will earn no token in its time is given back while its client can
-// still go elsewhere, not held to its last moment.
+// The connection tables are full and the retry buckets empty: messages that cannot earn a token in time are
+// refused while their clients can still use another relay, not held until the end of their lifetime.
 TEST(FleetTokens, MessagesThatEarnNoTokenAreRefusedWhileTheirTimeLasts) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = small_tables(300, seed);
@@ -149,7 +150,7 @@
   }
 }
 
-// Everything that a relay's module does in one life, held against its rules.
+// Checks all events and actions of each relay's policy with a rules checker.
 class RulesObserver {
  public:
   explicit RulesObserver(FleetModel& model) {
@@ -170,7 +171,7 @@
   std::map<size_t, firspool::testing::RulesChecker> checkers_;
 };
 
-// One destination is out for 8 s, and comes back cold.
+// One destination has an outage of 8 s and recovers with a slow start.
 FleetModel outage(double load, uint64_t seed) {
   FleetModel model;
   model.settings = typical_settings(300);
@@ -179,7 +180,7 @@
   DestinationModel d;
   d.number = 1;
   d.hosts = {{1, 80}, {2, 80}};
-  d.concurrency = std::max(1, static_cast<int>(load / 10));  // twice what is asked for
+  d.concurrency = std::max(1, static_cast<int>(load / 10));  // twice the load
   d.max_queued = 2 * d.concurrency;
   d.weight = 2 * load;
   d.load = load;
@@ -189,8 +190,8 @@
   return model;
 }
 
-// Each relay calls it about once a minute: scouts, probes and repeats of all together stay few, it is not
-// pushed over, and what is held still ends.
+// Each relay calls the destination about once a minute: trial calls, probes and retries of all relays
+// together stay few, the destination is not overloaded, and all waiting messages end.
 TEST(FleetOutage, ADestinationThatEachRelayCallsOnceAMinuteIsNotOverloaded) {
   for (const uint64_t seed : {1, 2, 3}) {
     const FleetModel model = outage(5, seed);
@@ -199,13 +200,15 @@
     const DestinationCounts& t = fleet.counts(1);
     EXPECT_LT(t.max_slow_start_load, model.settings.overload_factor) << "seed " << seed;
     expect_consistent(t, seed);
-    // 40 messages come while it is out, and each may be tried a few times before its relay knows.
+    // 40 messages arrive during the outage, and each may be tried a few times before its relay detects the
+    // outage.
     EXPECT_LT(t.connect_failures + t.probes, 40 * 6) << "seed " << seed;
     EXPECT_GT(ratio(t.delivered, t.offered), 0.8) << "seed " << seed;
   }
 }
 
-// Each relay calls it every few seconds: most that is sent comes from relays that know.
+// Each relay calls the destination every few seconds: most of the load comes from relays that know of the
+// outage.
 TEST(FleetOutage, RelaysThatSawItFailKeepToTheOverloadBudgetTogether) {
   for (const uint64_t seed : {1, 2, 3}) {
     const FleetModel model = outage(100, seed);
@@ -218,8 +221,9 @@
   }
 }
 
-// Loaded to its capacity before it goes out, with traffic far from even: refusals have slowed every relay,
-// and in the outage each sees it fail but once or twice. These are most of the load when it is back.
+// Loaded to its capacity before the outage, with very uneven traffic: refusals have slowed every relay down,
+// and during the outage each sees only one or two failures. These relays send most of the load at the
+// recovery.
 TEST(FleetOutage, RareCallersThatSawItFailTwiceDoNotOverloadIt) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     FleetModel model = outage(20, seed);
@@ -236,7 +240,7 @@
   }
 }
 
-// Seven in ten relays are killed at once and are all back within a second, with their folders.
+// Seven in ten relays are killed at once and are all restarted within a second, with their saved state.
 TEST(FleetRestart, ManyRelaysRestartedTogetherAreServed) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = small_tables(300, seed);
@@ -258,7 +262,7 @@
   }
 }
 
-// Traffic far from even: one relay has five times the mean, many have almost none.
+// Uneven traffic: one relay in twenty gets five times the mean, many get almost nothing.
 TEST(FleetShares, UnevenTrafficIsServedAsEvenIs) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = rate_limited(50, seed);
@@ -270,18 +274,18 @@
   }
 }
 
-// A destination lowers its limit under load: refusals and told waits, and no storm of repeats.
+// A destination lowers its limit under load: refusals and requested waits must not cause a storm of retries.
 TEST(FleetLimits, ALoweredLimitIsUsedAndBringsNoStorm) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = rate_limited(60, seed);
-    const RulesObserver observer(model);  // told waits are heeded by each
+    const RulesObserver observer(model);  // each relay keeps requested waits
     FleetEmulator fleet(model);
     fleet.schedule(8 * kSecond, [&fleet] {
       for (int i = 0; i < 10; ++i) fleet.destination(i).rate_limit = 30;
     });
     fleet.run();
     const DestinationCounts all = fleet.total();
-    // What it could take: 8 s of all that came, then two thirds.
+    // Its capacity: all messages for 8 s, then two thirds of them.
     EXPECT_GT(ratio(all.delivered, all.offered), 0.7) << "seed " << seed;
     EXPECT_LT(ratio(all.calls, all.offered), 1.4) << "seed " << seed;
   }
@@ -302,8 +306,8 @@
   return model;
 }
 
-// For 6 s the hosts of three destinations are cut off, and answers are lost; elsewhere connections are reset
-// under requests. Lists come late: a host drains, and relays hear of it within 5 s.
+// For 6 s the hosts of three destinations are cut off and answers are lost; connections to others are reset
+// during calls. Host lists arrive late: a host drains, and relays are notified within 5 s.
 TEST(FleetSplit, AZoneCutOffWithLateListsRepeatsNothingForbidden) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = mixed(seed);
@@ -329,15 +333,16 @@
     fleet.run();
     const DestinationCounts all = fleet.total();
     expect_consistent(all, seed);
-    EXPECT_GT(all.failed, 0) << "seed " << seed;  // unsafe ones that may have run
-    for (int i = 6; i < 10; ++i) {                // nobody else pays for it
+    EXPECT_GT(all.failed, 0) << "seed " << seed;  // unsafe messages that may have been executed
+    for (int i = 6; i < 10; ++i) {                // other destinations are not affected
       const DestinationCounts& t = fleet.counts(i);
       EXPECT_GT(ratio(t.in_time, t.offered), 0.97) << "seed " << seed;
     }
   }
 }
 
-// A tenth of the relays at a time is told to end, every second one killed outright, while hosts are replaced.
+// A tenth of the relays at a time is stopped, every second one killed without notice, while hosts are
+// replaced.
 TEST(FleetRoll, ARollingRestartWhileHostsAreReplacedLosesAndRepeatsNothing) {
   for (const uint64_t seed : {1, 2}) {
     FleetModel model = mixed(seed);
--- a/tests/emulator/soak_test.cpp
+++ b/tests/emulator/soak_test.cpp
@@ -1,5 +1,5 @@
-// Forty-five minutes of one relay's module on a made-up clock: hosts, messages and connections come and go,
-// and what it holds of them goes with them.
+// Runs one policy for forty-five minutes of virtual time while hosts, messages and connections are replaced;
+// its memory must not grow.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-int64_t live_bytes = 0;  // bytes that this process holds from operator new
+int64_t live_bytes = 0;  // bytes allocated with operator new and not yet freed
 
 }  // namespace
 
@@ -123,7 +123,7 @@
         probe_results.push_back(ProbeEnded{probe->endpoint, true, 1000, {}});
       }
     }
-    // The least that is held: what is only out or waiting goes, what is forgotten to be dropped stays.
+    // Compares minima: messages in flight or waiting are freed in between, leaked memory is not.
     if (now > 5 * kMinute && now <= 15 * kMinute) early_min = std::min(early_min, live_bytes);
     if (now > 35 * kMinute) late_min = std::min(late_min, live_bytes);
   }
