--- a/tests/fuzz/fleet_fuzz.cpp
+++ b/tests/fuzz/fleet_fuzz.cpp
@@ -1,5 +1,5 @@
-// libFuzzer over all that the fleet reads from files and from other relays. The first byte says which reader;
-// what is read whole must come back the same when it is written again.
+// libFuzzer target for everything that the fleet layer reads from files and from other relays. The first byte
+// selects the parser; what parses completely has to be the same after writing and parsing it again.
 #include <cstdlib>
 #include <string>
 
@@ -12,8 +12,8 @@
 
 namespace {
 
-void hold(bool good) {
-  if (!good) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
 void fuzz_map(const std::string& text) {
@@ -22,13 +22,13 @@
   const auto* map = std::get_if<Map>(&parsed);
   if (map == nullptr) return;
   const auto again = parse_map(to_toml(*map));
-  hold(std::holds_alternative<Map>(again) && std::get<Map>(again) == *map);
+  require(std::holds_alternative<Map>(again) && std::get<Map>(again) == *map);
   if (!validate(*map, {}).empty()) return;
-  // Right: each end of a range has the range as its owner, and every neighbour another or the same.
+  // In a valid map both ends of a range are found in that range, and every key has an owner.
   for (const Range& range : map->ranges) {
-    hold(find_range(*map, range.first) == &range && find_range(*map, range.last) == &range);
+    require(find_range(*map, range.first) == &range && find_range(*map, range.last) == &range);
   }
-  hold(find_range(*map, 0) != nullptr && find_range(*map, UINT64_MAX) != nullptr);
+  require(find_range(*map, 0) != nullptr && find_range(*map, UINT64_MAX) != nullptr);
 }
 
 void fuzz_calendar(const std::string& text) {
@@ -36,12 +36,12 @@
   const auto parsed = freeze::parse_calendar(text);
   const auto* calendar = std::get_if<freeze::Calendar>(&parsed);
   if (calendar == nullptr) return;
-  hold(reg::from_pb(reg::to_pb(*calendar)) == *calendar);
+  require(reg::from_pb(reg::to_pb(*calendar)) == *calendar);
   for (const freeze::Window& window : calendar->windows) {
     for (const freeze::ChangeKind kind : freeze::kChangeKinds) {
       if (!window.change_kinds.empty() && !window.change_kinds.contains(kind)) continue;
-      hold(freeze::evaluate(*calendar, {kind, {}}, {window.start, window.start}).closed);
-      hold(freeze::evaluate(*calendar, {kind, {}}, {window.end - 1, window.end + 5}).closed);
+      require(freeze::evaluate(*calendar, {kind, {}}, {window.start, window.start}).closed);
+      require(freeze::evaluate(*calendar, {kind, {}}, {window.end - 1, window.end + 5}).closed);
     }
   }
 }
@@ -50,15 +50,15 @@
   using namespace umberhoist::reg;
   size_t at = 0;
   while (const auto payload = read_storage_frame(text, at, kMaxEntryBytes)) {
-    hold(at <= text.size());
-    if (const auto entry = decode_entry(*payload)) hold(encode_entry(*entry) == *payload);
-    if (const auto snapshot = decode_snapshot(*payload)) hold(encode_snapshot(*snapshot) == *payload);
+    require(at <= text.size());
+    if (const auto entry = decode_entry(*payload)) require(encode_entry(*entry) == *payload);
+    if (const auto snapshot = decode_snapshot(*payload)) require(encode_snapshot(*snapshot) == *payload);
   }
-  // And as a payload by itself, past the checksum.
-  if (const auto entry = decode_entry(text)) hold(encode_entry(*entry) == text);
-  if (const auto snapshot = decode_snapshot(text)) hold(encode_snapshot(*snapshot) == text);
-  size_t whole = 0;
-  hold(read_storage_frame(encode_storage_frame(text), whole, text.size()) == text);
+  // Also as a payload by itself, without the checksum.
+  if (const auto entry = decode_entry(text)) require(encode_entry(*entry) == text);
+  if (const auto snapshot = decode_snapshot(text)) require(encode_snapshot(*snapshot) == text);
+  size_t offset = 0;
+  require(read_storage_frame(encode_storage_frame(text), offset, text.size()) == text);
 }
 
 void fuzz_frames(std::string bytes) {
@@ -66,12 +66,13 @@
   while (const auto frame = umberhoist::fleet::decode_frame(bytes, bad)) {
     std::string packed = umberhoist::fleet::encode_frame(*frame);
     const auto again = umberhoist::fleet::decode_frame(packed, bad);
-    hold(again && packed.empty());
+    require(again && packed.empty());
   }
 }
 
 void fuzz_machine(const std::string& bytes) {
-  // Commands one after the other, as a log might hold them: never a crash, and the same state each time.
+  // Applies commands one after the other, as a log might contain them: no crash, and the same state each
+  // time.
   umberhoist::reg::StateMachine one({}), other({});
   uint64_t index = 0;
   size_t at = 0;
@@ -80,13 +81,13 @@
     umberhoist::register_pb::Command command;
     if (!command.ParseFromArray(bytes.data() + at + 1, static_cast<int>(size))) command.Clear();
     ++index;
-    hold(one.apply(index, command).applied == other.apply(index, command).applied);
+    require(one.apply(index, command).applied == other.apply(index, command).applied);
     at += size + 1;
   }
-  hold(one.digest() == other.digest());
+  require(one.digest() == other.digest());
   umberhoist::reg::StateMachine restored({});
   restored.restore(one.state());
-  hold(restored.digest() == one.digest());
+  require(restored.digest() == one.digest());
 }
 
 }  // namespace
--- a/tests/mutants/faults.cpp
+++ b/tests/mutants/faults.cpp
@@ -17,43 +17,44 @@
 
 constexpr size_t kMb = 1'000'000;
 
-void* touched(size_t bytes) {
+void* allocate_touched(size_t bytes) {
   void* out =
       ::mmap(nullptr, bytes, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS | MAP_POPULATE, -1, 0);
   return out == MAP_FAILED ? nullptr : out;
 }
 
-// A helper in a session of its own, as a daemon's helper would be.
-template <class Work>
-void helper(Work work) {
+// Starts a helper process in its own session, as the helper of a daemon would run.
+template <class Function>
+void start_helper(Function run) {
   if (::fork() != 0) return;
   ::setsid();
-  work();
+  run();
   for (;;) ::pause();
 }
 
-std::string folder(const char* variable) {
+std::string environment_or_dot(const char* variable) {
   const char* value = std::getenv(variable);
   return value == nullptr ? "." : value;
 }
 
-void once() {
+void run_one_time_fault() {
   if (is("memory-burst")) {
-    void* block = touched(300 * kMb);
+    void* block = allocate_touched(300 * kMb);
     ::munmap(block, 300 * kMb);
   } else if (is("memory-helpers")) {
-    for (int i = 0; i < 2; ++i) helper([] { touched(120 * kMb); });
+    for (int i = 0; i < 2; ++i) start_helper([] { allocate_touched(120 * kMb); });
   } else if (is("memory-temporary")) {
-    std::ofstream file(folder("TMPDIR") + "/spool", std::ios::binary);
+    std::ofstream file(environment_or_dot("TMPDIR") + "/spool", std::ios::binary);
     const std::string block(kMb, 'x');
     for (int i = 0; i < 200; ++i) file << block;
   } else if (is("disk-many-files")) {
-    for (int i = 0; i < 1000; ++i) std::ofstream(folder("PROXY_STATE") + "/n" + std::to_string(i)) << 'x';
+    for (int i = 0; i < 1000; ++i)
+      std::ofstream(environment_or_dot("PROXY_STATE") + "/n" + std::to_string(i)) << 'x';
   } else if (is("disk-spool")) {
-    std::ofstream(folder("PROXY_STATE") + "/spool", std::ios::binary) << std::string(kMb, 'x');
+    std::ofstream(environment_or_dot("PROXY_STATE") + "/spool", std::ios::binary) << std::string(kMb, 'x');
   } else if (is("sockets-in-helpers")) {
     for (int i = 0; i < 3; ++i) {
-      helper([] {
+      start_helper([] {
         for (int k = 0; k < 120; ++k) (void)::socket(AF_INET, SOCK_STREAM, 0);
       });
     }
@@ -63,21 +64,21 @@
 }  // namespace
 
 bool is(const char* name) {
-  static const std::string fault = folder("UMBERHOIST_FAULT");
+  static const std::string fault = environment_or_dot("UMBERHOIST_FAULT");
   return fault == name;
 }
 
-void die(const char* name) {
+void kill_if(const char* name) {
   if (is(name)) ::kill(::getpid(), SIGKILL);
 }
 
-void turn() {
+void on_loop_turn() {
   using Clock = std::chrono::steady_clock;
-  static const Clock::time_point begin = Clock::now();
+  static const Clock::time_point start = Clock::now();
   static bool done = false;
-  if (Clock::now() - begin < std::chrono::milliseconds(1500)) return;
-  if (is("memory-held")) touched(4 * kMb);
-  if (!std::exchange(done, true)) once();
+  if (Clock::now() - start < std::chrono::milliseconds(1500)) return;
+  if (is("memory-held")) allocate_touched(4 * kMb);
+  if (!std::exchange(done, true)) run_one_time_fault();
 }
 
 }  // namespace planted
--- a/tests/mutants/faults.h
+++ b/tests/mutants/faults.h
@@ -1,10 +1,12 @@
-// Which fault the planted program plays, from UMBERHOIST_FAULT. Test builds alone hold this.
+// Planted faults: UMBERHOIST_FAULT names the fault that this process has. Only in test builds.
 #pragma once
 
 namespace planted {
 
 bool is(const char* name);
-void die(const char* name);  // where that is the fault: by SIGKILL, as the operators' kills are
-void turn();                 // once a turn of the event loop: faults that belong to no line of the daemon
+// Kills the process with SIGKILL, as operators do, if this is the fault.
+void kill_if(const char* name);
+// Called once per turn of the event loop, for faults that belong to no particular line of the daemon.
+void on_loop_turn();
 
 }  // namespace planted
