--- a/include/firspool/policy.h
+++ b/include/firspool/policy.h
@@ -73,10 +73,10 @@
   int slots = 1;     // maximum number of calls in flight
   int max_open = 1;  // maximum number of messages held, sent or not
   int max_attempts = 1;
-  int streams_per_conn = 1;
-  bool may_probe = false;
+  int streams_per_conn = 1;  // calls in flight on one connection
+  bool may_probe = false;    // Probe actions are allowed
   bool may_notify_peers = false;
-  bool may_cancel = false;
+  bool may_cancel = false;               // Cancel actions are allowed
   bool list_requires_watch = false;      // the host list is sent only after a WatchList action
   bool clients_get_retry_after = false;  // Refuse::retry_after is passed on to clients
   // true: the worth of a late message halves with each further target time; false: it falls linearly until
@@ -93,17 +93,17 @@
   Time reply_slack = 0;      // how long after its due time a message may get its final answer
   Time drain_grace = 0;      // calls to a host must stop within this time after it is listed as draining
   Time list_request_interval = 0;  // bounds the backoff between attempts to open the discovery watch
-  Time in_order_pause = 0;     // pause of an ordered key after a call that timed out, was reset or cancelled
-  Time slow_start = 0;         // after an outage a destination is back at full capacity after this time
-  Time overload_window = 0;    // a destination in slow start that is overloaded for this long fails again
-  double overload_factor = 1;  // overloaded: more than this multiple of its capacity at that moment
-  double start_capacity = 1;   // share of its capacity that a destination has when it recovers
-  double price_cross_zone = 0;
-  double price_handshake = 0;
+  Time in_order_pause = 0;      // pause of an ordered key after a call that timed out, was reset or cancelled
+  Time slow_start = 0;          // after an outage a destination is back at full capacity after this time
+  Time overload_window = 0;     // a destination in slow start that is overloaded for this long fails again
+  double overload_factor = 1;   // overloaded: more than this multiple of its capacity at that moment
+  double start_capacity = 1;    // share of its capacity that a destination has when it recovers
+  double price_cross_zone = 0;  // per call to a host in another zone
+  double price_handshake = 0;   // per new connection
   double price_waste = 0;
   double price_late_fail = 0;
   double price_probe = 0;
-  double price_refused = 0;
+  double price_refused = 0;  // per refused call
   double price_peer = 0;
   std::vector<double> zone_fee;  // per zone: price of a message accepted by an independent endpoint there
 };
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -14,6 +14,8 @@
 
 constexpr int kMaxEntries = 100000;  // a longer list is an error in the text
 
+// The path=value lines of a settings text. Getters throw std::invalid_argument with the key in its text if a
+// value cannot be read, or is missing and has no fallback.
 class KeyValues {
  public:
   explicit KeyValues(std::string_view text) {
--- a/tests/emulator/cold_test.cpp
+++ b/tests/emulator/cold_test.cpp
@@ -9,7 +9,7 @@
 namespace umberhoist::emulator {
 namespace {
 
-// Number of runs per fleet size: UMBERHOIST_SEEDS=1000 ctest -R ColdBudget does as many as scripts/soak.
+// Number of runs per fleet size; for a soak: UMBERHOIST_SEEDS=1000 ctest -R ColdBudget.
 uint64_t run_count() {
   const char* wanted = std::getenv("UMBERHOIST_SEEDS");
   return wanted == nullptr ? 60 : std::stoull(wanted);
