--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -216,7 +216,7 @@
   if (available == nullptr) return;  // no relay is available: not counted as offered
   Relay& relay = *available;
   Arrival in;
-  in.id = ++last_message_;
+  in.id = ++last_message_id_;
   in.destination = d.number;
   in.message_class = d.message_class;
   in.due = now_ + model_.settings.classes.at(d.message_class).give_up;
@@ -375,7 +375,7 @@
 }
 
 void FleetEmulator::start_call(Relay& relay, const Send& send) {
-  const uint64_t number = ++last_call_;
+  const uint64_t number = ++last_call_number_;
   Call& out = calls_[number];
   Relay::OpenMessage& message = relay.open_messages.at(send.id);
   DestinationCounts& counts = counts_[message.arrival.destination];
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -125,12 +125,13 @@
 
   // Runs an action of the caller at a given time.
   void schedule(Time when, std::function<void()> action);
-  // Kills a relay now, or announces its end and kills it at a given time; restarts it at `back` with the
-  // state that its folder would hold.
+  // Kills a relay now, or tells it the time at which it will be killed; restarts it at `back` with the state
+  // that its folder would hold.
   void kill(size_t relay, Time back);
   void shut_down(size_t relay, Time killed, Time back);
   // Notifies all relays of changed hosts, each at a random time within `within`.
   void update_members(std::vector<firspool::Member> members, Time within);
+  // Runs until the lifetime of the last submitted message has passed.
   void run();
 
   DestinationModel& destination(int number);  // may be changed during the run
@@ -169,8 +170,8 @@
   std::mt19937_64 random_;
   Time now_ = 0;
   uint64_t next_sequence_ = 0;
-  uint64_t last_message_ = 0;
-  uint64_t last_call_ = 0;
+  uint64_t last_message_id_ = 0;
+  uint64_t last_call_number_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<std::unique_ptr<Relay>> relays_;
   std::map<Endpoint, Host> hosts_;
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -21,11 +21,13 @@
   using std::runtime_error::runtime_error;
 };
 
+// Starts an instance, or restarts it without its state.
 struct PowerOn {
   uint64_t seed = 0;
-  std::string settings;
+  std::string settings;  // text for parse_settings
 };
 
+// Ends an instance without notice.
 struct Kill {};
 
 struct InstanceEvent {
@@ -34,16 +36,18 @@
 };
 
 struct Header {
-  uint32_t length = 0;
-  uint32_t records = 0;
+  uint32_t length = 0;   // bytes of the body that follows
+  uint32_t records = 0;  // records in the body
   Time clock = 0;
 };
 
 constexpr size_t kHeaderBytes = 16;
 
+// Throws WireError.
 Header decode_header(std::string_view bytes);
 
 // Decodes the records of batches, in order. Host lists are used across batches, so use one decoder per input.
+// Throws WireError.
 class Decoder {
  public:
   std::vector<InstanceEvent> decode(const Header& header, std::string_view body);
--- a/src/policy_parts.h
+++ b/src/policy_parts.h
@@ -238,8 +238,8 @@
   double rate_limit = 0;            // calls a second from all relays together; 0: unknown or none
   double pacing_rate = 0;           // upper bound on this relay's sends a second; 0: never refused
   double restored_pacing_rate = 0;  // rate that a served call restores: after the first refusal of a streak
-  Time rate_cut_at =
-      0;  // when the pacing rate was last reduced; refusals of earlier calls add no information
+  // When the pacing rate was last reduced. Refusals of calls sent earlier add no information.
+  Time rate_cut_at = 0;
   TokenBucket pacing_bucket;
   double remaining_share = 1;   // mean share of the limit that is unused, from load reports and refusals
   bool pacing_limited = false;  // a message waited for the pacing bucket since the last served call
