--- a/relay/clients.h
+++ b/relay/clients.h
@@ -20,10 +20,11 @@
  public:
   using ReplyCallback =
       std::function<void(std::string line)>;  // called once, with a RESP line without its end
-  using SubmitCallback = std::function<void(Submission message, ReplyCallback answer)>;
+  using SubmitCallback = std::function<void(Submission submission, ReplyCallback reply)>;
 
   // Listens at once, and holds at most `most` connections; throws boost::system::system_error.
-  ClientServer(boost::asio::io_context& io, const tcp::endpoint& listen, size_t most, SubmitCallback put);
+  ClientServer(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_connections,
+               SubmitCallback submit);
   ~ClientServer();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
@@ -39,24 +40,25 @@
   class Session;
 
   void accept();
-  void admit(tcp::socket socket);
-  bool make_room();
+  void start_session(tcp::socket socket);
+  bool evict_idle_session();
   void sweep();
-  Time most_idle() const;
-  void lingers(std::list<std::shared_ptr<Session>>::iterator place);
-  void forget(std::list<std::shared_ptr<Session>>::iterator place, bool lingering);
+  Time max_idle_time() const;
+  void on_lingering(std::list<std::shared_ptr<Session>>::iterator position);
+  void remove_session(std::list<std::shared_ptr<Session>>::iterator position, bool lingering);
 
   boost::asio::io_context& io_;
   tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
-  boost::asio::steady_timer sweeper_;
-  size_t most_lingering_;
-  size_t most_;  // that do not linger
-  SubmitCallback put_;
+  boost::asio::steady_timer accept_backoff_;
+  boost::asio::steady_timer sweep_timer_;
+  size_t max_lingering_;
+  size_t max_active_;  // that do not linger
+  SubmitCallback submit_;
   bool accepting_ = false;
-  bool finishing_ = false;
-  std::array<size_t, 10> came_{};      // connections in each of the last sweeps' spans, the present one first
-  std::array<char, 64 * 1024> bytes_;  // what was read last, of any connection
+  bool shutting_down_ = false;
+  std::array<size_t, 10>
+      recent_connections_{};  // connections in each of the last sweeps' spans, the present one first
+  std::array<char, 64 * 1024> read_buffer_;  // what was read last, of any connection
   std::list<std::shared_ptr<Session>> sessions_;
   std::list<std::shared_ptr<Session>> lingering_;  // the one that has lingered longest first
 };
