--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -19,32 +19,34 @@
 constexpr auto kAcceptBackoff = std::chrono::milliseconds(50);
 constexpr auto kSweepInterval = std::chrono::milliseconds(100);
 constexpr Time kSecond = 1'000'000;
-// A client that cannot be served is owed an error or a close within 3 s of connecting.
-constexpr Time kFirstCommandTimeout = 5 * kSecond / 2;  // with nothing ever sent
-constexpr Time kCommandTimeout = 2 * kSecond;           // from a command's first byte to its last
-constexpr Time kMinCommandTimeout =
-    3 * kSecond / 10;                             // the first one gets what is left of the silence, but this
-constexpr Time kClientTimeout = 2 * kSecond / 5;  // then it gives its request up
-constexpr Time kWriteTimeout = 2 * kSecond;       // for an answer that the client does not read
-// A lingering close ends when the client has closed too, or nothing came for a while, or too much did.
+// A client that cannot be served must get an error or a close within 3 s of connecting.
+constexpr Time kFirstCommandTimeout = 5 * kSecond / 2;  // from connecting
+constexpr Time kCommandTimeout = 2 * kSecond;           // from the first byte of a command to its last
+// The first command has to end within kFirstCommandTimeout of connecting, but always gets at least this long.
+constexpr Time kMinCommandTimeout = 3 * kSecond / 10;
+constexpr Time kClientTimeout = 2 * kSecond / 5;  // after which a client abandons its request
+constexpr Time kWriteTimeout = 2 * kSecond;       // of a reply that the client does not read
+// A lingering close ends when the client has closed its side, has sent nothing for a while, or has sent too
+// much.
 constexpr Time kLingerIdleTimeout = kSecond;
-constexpr Time kLingerTimeout = 5 * kSecond;  // so that a client that is still sending gets to read its error
-constexpr size_t kMaxLingerBytes = 96 * 1024 * 1024;  // bytes
+constexpr Time kLingerTimeout = 5 * kSecond;  // lets a client that is still sending read its error
+constexpr size_t kMaxLingerBytes = 96 * 1024 * 1024;
 constexpr size_t kLingerReadBytes = 256 * 1024;
-constexpr size_t kLingeringDivisor =
-    8;  // part of the room that may be taken by them: beyond it the oldest goes
-// For another connection to be let in, at the limit.
-constexpr Time kMinIdleToEvict = 2 * kSecond;          // between requests
-constexpr Time kMinIdleToEvictForced = kSecond / 20;   // the same, where every other was of use just now
-constexpr Time kMinSilenceToEvict = 3 * kSecond / 10;  // with nothing ever sent
-// Clients may hold a third of the descriptors for requests, two thirds of the room here. Connections
-// that stand idle are kept to a quarter of the room, so that they never are what holds the next one up.
+// One in so many connections may be lingering; beyond that the oldest of them is closed.
+constexpr size_t kLingeringDivisor = 8;
+// How long a connection has to be idle before it may be closed to accept another one at the limit.
+constexpr Time kMinIdleToEvict = 2 * kSecond;          // since the last reply
+constexpr Time kMinIdleToEvictForced = kSecond / 20;   // where no connection has been idle for that long
+constexpr Time kMinSilenceToEvict = 3 * kSecond / 10;  // since connecting, without a command
+// Clients may hold a third of the descriptors for requests, which is two thirds of the connections here. Idle
+// connections are limited to a quarter of the connections, so that they never delay the next one.
 constexpr size_t kIdleDivisor = 4;
-constexpr Time kMinIdleTime = kSecond / 20;  // a client that goes on at once finds its connection open
+constexpr Time kMinIdleTime = kSecond / 20;  // lets a client that sends its next request at once reuse it
 constexpr size_t kMaxNameLength = 128;       // ids, keys and class names
-constexpr Time kMaxLifetimeMs = Time{24} * 3600 * 1000;  // milliseconds
+constexpr Time kMaxLifetimeMs = Time{24} * 3600 * 1000;
 
-// Ids and keys become header lines and journal records: nothing that could break one passes.
+// Ids and keys are written into HTTP headers and journal records, so characters that could break those are
+// rejected.
 bool is_valid_name(std::string_view text) {
   return !text.empty() && text.size() <= kMaxNameLength &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isgraph(c) != 0; });
@@ -54,7 +56,9 @@
   int64_t value = -1;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || value < 0 || value > max) {
-    throw std::invalid_argument("a number is unreadable or out of range");  // its bytes could forge a line
+    throw std::invalid_argument(
+        "a number is unreadable or out of range");  // the text is not quoted: it could contain a line break
+                                                    // and forge a reply
   }
   return value;
 }
@@ -96,14 +100,14 @@
   return out;
 }
 
-// One client: a request is read, answered, and only then the next one is looked at. The states of its
-// connection, and what leads on:
-//   kReading    between requests or within one; -> kServing by a whole command, -> kWriting by an error
-//   kServing    its answer is not known yet; -> kWriting by the answer
-//   kWriting    -> kReading, or after the last answer kLingering
-//   kLingering  this side has shut its sending; -> kClosed
-//   kClosed     by the client's end, an error, an answer that is not read, or the end of the lingering
-// Whatever ends a connection of a client that is still there passes through kLingering.
+// The connection of one client. A request is read and answered before the next one is parsed. States and
+// transitions:
+//   kReading        between requests or within one; -> kAwaitingReply by a command, -> kWriting by an error
+//   kAwaitingReply  a command is being handled; -> kWriting by its reply
+//   kWriting        -> kReading, or after the last reply kLingering
+//   kLingering      the sending side is shut down, input is discarded; -> kClosed
+//   kClosed         by the client's close, an error, an unread reply or the end of the lingering close
+// A connection whose client is still there is always closed by way of kLingering.
 class ClientServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(ClientServer& owner, tcp::socket socket)
@@ -134,8 +138,9 @@
     if (owner_->shutting_down_) close_if_idle();
   }
 
-  // Wakes a pending read, which then decides: bytes that came in the meantime are a request to be served. A
-  // connection that has only just come gets a moment to bring its first.
+  // For the shutdown. Cancels the pending wait for input; its handler closes the connection unless bytes have
+  // arrived meanwhile, which are a request to be served. A connection that is new gets a moment to send its
+  // first request.
   void close_if_idle() {
     if (state_ != State::kReading || !parser_.empty()) return;
     if (!sent_command_ && steady_now() - state_since_ < kMinSilenceToEvict) return;
@@ -149,13 +154,15 @@
     socket_.close(ignored);
   }
 
-  // Between requests for longer than `most`, with nothing unread. One that never spoke has its own limit.
+  // Between requests for at least `min_idle`, with no unread input. False before the first command, which has
+  // a limit of its own.
   bool is_idle_for(Time min_idle, Time now) const {
     return sent_command_ && state_ == State::kReading && command_started_at_ == 0 &&
            now - state_since_ >= min_idle && has_no_unread_input();
   }
 
-  // Ends what takes too long. Not by the time since the last byte: dribbled ones would put it off for ever.
+  // Closes the connection where a step takes too long. Commands are timed from their first byte: timed from
+  // the last one, a client that sends a byte at a time would never reach the limit.
   void enforce_time_limits(Time now) {
     const Time began = state_ == State::kReading && command_started_at_ != 0 ? now - command_started_at_ : 0;
     if (began >= kCommandTimeout ||
@@ -171,23 +178,22 @@
     }
   }
 
-  // How long it could have been closed for another's sake; negative: not now. Never with a request open or
-  // begun. `pressed`: nothing else is left that could go.
+  // For how long the connection has been a candidate for eviction; negative: it is none. Never with a request
+  // open or begun. `forced`: no connection has been idle for the usual time.
   Time eviction_age(Time now, bool forced) const {
     const Time age = now - state_since_;
     if (state_ != State::kReading || command_started_at_ != 0) return -1;
     return age - (!sent_command_ ? kMinSilenceToEvict : forced ? kMinIdleToEvictForced : kMinIdleToEvict);
   }
 
-  // Nothing has come that was not read.
   bool has_no_unread_input() const {
     boost::system::error_code error;
     return socket_.available(error) == 0 || error;
   }
 
-  // A close over unread bytes is a reset, which may destroy an answer on its way. So the sending side is
-  // shut, and what still comes is thrown away: a request that crosses this end gets no answer, so its client
-  // sends it once more on a new connection, and it is not acted on here.
+  // Closing a socket with unread input sends a reset, which may destroy a reply in flight. So the sending
+  // side is shut down and further input is discarded. A request that crosses this gets no reply and is not
+  // acted on: its client sends it again on a new connection.
   void start_lingering() {
     if (owner_ == nullptr || state_ == State::kLingering) return;
     state_ = State::kLingering;
@@ -227,8 +233,8 @@
     process_next();
   }
 
-  // How long the newest byte had been here: a message's time runs from then, also while this process was busy
-  // or the connection stood in the queue to be accepted.
+  // Time since the kernel received the newest byte. A message's lifetime runs from then, also while this
+  // process was busy or the connection waited to be accepted.
   Time time_since_last_byte() {
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -236,8 +242,8 @@
     return Time{1000} * info.tcpi_last_data_recv;
   }
 
-  // The client closed behind its request: it has given up, and handed the message in elsewhere under a new
-  // id.
+  // The client has closed its side after the request: it has given up and submitted the message elsewhere
+  // under a new id.
   bool client_closed() {
     char byte = 0;
     return ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
@@ -278,7 +284,7 @@
                              });
   }
 
-  // What follows cannot be read any more.
+  // For errors after which the rest of the input cannot be parsed.
   void reply_and_close(const std::string& line) {
     close_after_reply_ = true;
     reply(line);
@@ -306,9 +312,9 @@
   RespParser parser_;
   std::string write_buffer_;
   State state_ = State::kReading;
-  Time state_since_;             // when it connected, was last answered, or an answer or the lingering began
-  Time last_byte_at_ = 0;        // when the newest byte came
-  Time command_started_at_ = 0;  // when a command's first byte was read; 0: none has begun
+  Time state_since_;  // of connecting, the last reply, or the start of the current write or lingering close
+  Time last_byte_at_ = 0;        // when the newest byte arrived
+  Time command_started_at_ = 0;  // when the first byte of the current command was read; 0: none
   size_t lingered_bytes_ = 0;
   bool sent_command_ = false;
   bool close_after_reply_ = false;
@@ -342,7 +348,7 @@
   acceptor_.async_accept([this](const boost::system::error_code& error, tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
     accepting_ = false;
-    if (error) {  // out of descriptors, or the client is gone again: an accept at once would spin
+    if (error) {  // out of descriptors, or the client has closed already: retrying at once would spin
       accept_backoff_.expires_after(kAcceptBackoff);
       accept_backoff_.async_wait([this](const boost::system::error_code& stopped) {
         if (!stopped) accept();
@@ -364,8 +370,8 @@
   session->process_next();
 }
 
-// At the limit the connection that has been of no use for longest goes. Clients keep connections for
-// good, and some connect and say nothing: they would shut out those that have something to hand in.
+// At the limit, closes the connection that has been idle for longest. Clients keep connections open
+// indefinitely, and some connect and send nothing: they would lock out clients with messages to submit.
 bool ClientServer::evict_idle_session() {
   const Time now = steady_now();
   std::shared_ptr<Session> best;
@@ -379,23 +385,24 @@
     }
     if (best) break;
   }
-  if (!best) return false;  // the next look is the sweep's
-  accepting_ = true;        // its end asks for the next accept: that is the caller's
+  if (!best) return false;  // the next sweep tries again
+  accepting_ = true;        // suppresses the accept that on_lingering starts: the caller starts it
   best->start_lingering();
   accepting_ = false;
   return true;
 }
 
-// It takes no room of those that have something to hand in, and there are only so many like it.
+// Lingering connections do not count against the active ones, and their number is bounded.
 void ClientServer::on_lingering(std::list<std::shared_ptr<Session>>::iterator position) {
   lingering_.splice(lingering_.end(), sessions_, position);
   if (lingering_.size() > max_lingering_) lingering_.front()->close();
   accept();
 }
 
-// How long a connection may stand idle. By Little's law as many are idle as come in that time: where clients
-// open one for each message and keep it, 121 a second that are kept for 2 s would take 242 descriptors, and
-// clients that may not hold so many could not reach this relay at all. Where few come they stay.
+// How long a connection may stay idle. By Little's law the number of idle connections is the arrival rate
+// times the time that each is kept: with clients that open one for each message, 121 a second kept for 2 s
+// would take 242 descriptors, and clients that may not hold so many could not reach this relay at all. Where
+// few connections arrive they are kept.
 Time ClientServer::max_idle_time() const {
   const size_t connections =
       std::accumulate(recent_connections_.begin(), recent_connections_.end(), size_t{0});
@@ -429,8 +436,8 @@
   if (!lingering) accept();
 }
 
-// What the kernel has connected and nobody accepted would be reset with the listener: its client may have
-// sent a request already.
+// Accepts what is still in the backlog first: closing the listener would reset those connections, whose
+// clients may have sent a request already.
 void ClientServer::shut_down() {
   shutting_down_ = true;
   boost::system::error_code error;
--- a/relay/clients.h
+++ b/relay/clients.h
@@ -1,4 +1,4 @@
-// The side that clients connect to: RESP2 over TCP.
+// The server that clients connect to: RESP2 over TCP.
 #pragma once
 
 #include <array>
@@ -13,27 +13,28 @@
 
 namespace firspool::relay {
 
-// Reads the words of MSG.PUT; throws std::invalid_argument with a line for the client.
+// Parses the words of an MSG.PUT command. Throws std::invalid_argument, whose text is sent to the client as
+// an error.
 Submission parse_put(const std::vector<std::string>& words);
 
 class ClientServer {
  public:
-  using ReplyCallback =
-      std::function<void(std::string line)>;  // called once, with a RESP line without its end
+  // Called exactly once, with a RESP reply without the final line break.
+  using ReplyCallback = std::function<void(std::string line)>;
   using SubmitCallback = std::function<void(Submission submission, ReplyCallback reply)>;
 
-  // Listens at once, and holds at most `most` connections; throws boost::system::system_error.
+  // Starts to listen at once and holds at most `max_connections` connections, of which an eighth is for those
+  // in a lingering close. Throws boost::system::system_error.
   ClientServer(boost::asio::io_context& io, const tcp::endpoint& listen, size_t max_connections,
                SubmitCallback submit);
   ~ClientServer();
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Takes no new connection and closes those that are open, each only between requests.
+  // Accepts no new connections and closes the open ones, each only between requests.
   void shut_down();
 
-  // After `shut_down`: all that was read has its answer, and the clients have seen the end of their
-  // connections.
+  // After `shut_down`: true once every request that was read is answered and all connections are closed.
   bool all_closed() const { return sessions_.empty() && lingering_.empty(); }
 
  private:
@@ -52,15 +53,15 @@
   boost::asio::steady_timer accept_backoff_;
   boost::asio::steady_timer sweep_timer_;
   size_t max_lingering_;
-  size_t max_active_;  // that do not linger
+  size_t max_active_;  // without the lingering ones
   SubmitCallback submit_;
   bool accepting_ = false;
   bool shutting_down_ = false;
-  std::array<size_t, 10>
-      recent_connections_{};  // connections in each of the last sweeps' spans, the present one first
-  std::array<char, 64 * 1024> read_buffer_;  // what was read last, of any connection
+  std::array<size_t, 10> recent_connections_{};  // connections accepted in each of the last sweep intervals,
+                                                 // the current one first
+  std::array<char, 64 * 1024> read_buffer_;      // shared by all sessions: the input of the last read
   std::list<std::shared_ptr<Session>> sessions_;
-  std::list<std::shared_ptr<Session>> lingering_;  // the one that has lingered longest first
+  std::list<std::shared_ptr<Session>> lingering_;  // oldest first
 };
 
 }  // namespace firspool::relay
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -1,4 +1,5 @@
-// How connections of clients end: what was read is answered, what was not is not acted on, nothing is reset.
+// How client connections are closed: a request that was read is answered, one that was not is not acted on,
+// and no connection is reset.
 #include "clients.h"
 
 #include <sys/socket.h>
@@ -22,7 +23,7 @@
   Socket connect() { return Socket::connect(server_.address().port()); }
   static std::string put_request(const std::string& id) { return put_command(id, "c=safe,d=1000,dest=7"); }
 
-  // Lets the relay's side run until something shows at a client; this thread plays both.
+  // Runs the server's event loop until the client's socket is readable; this thread plays both sides.
   void run_until_readable(const Socket& client) {
     char byte = 0;
     while (::recv(client.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN) io_.run_one();
@@ -31,7 +32,7 @@
     run_until_readable(client);
     return client.read_line();
   }
-  // It has seen the end of the stream, which is no reset.
+  // An orderly end of the stream, not a reset.
   bool sees_end_of_stream(const Socket& client) {
     run_until_readable(client);
     char byte = 0;
@@ -59,7 +60,7 @@
                        }};
 };
 
-// In the queue of the listener when that closes: its client has connected, and sent its request.
+// A connection still in the listener's backlog at shutdown, whose client has sent its request already.
 TEST_F(ClientsTest, ARequestThatWaitsToBeAcceptedAtTheEndIsAnswered) {
   Socket client = connect();
   ASSERT_TRUE(client.send(put_request("a1")));
@@ -70,7 +71,7 @@
   run_until_all_closed();
 }
 
-// Fifty connections at the end of a relay, ten in each state that one can be in.
+// Fifty connections at shutdown, ten in each state that a connection can be in.
 TEST_F(ClientsTest, AtTheEndEachConnectionGetsWhatItIsOwedAndThenItsEnd) {
   std::vector<Socket> idle, half, unread, pipelined, queued;
   for (auto* group : {&idle, &half, &unread, &pipelined}) {
@@ -106,7 +107,7 @@
     for (Socket& client : *group) EXPECT_TRUE(sees_end_of_stream(client));
   }
   EXPECT_EQ(submitted_.size(), 50u);
-  EXPECT_FALSE(server_.all_closed()) << "they have not closed yet";
+  EXPECT_FALSE(server_.all_closed()) << "the clients have not closed their connections yet";
   for (auto* group : {&idle, &half, &unread, &pipelined, &queued}) group->clear();
   run_until_all_closed();
 }
@@ -124,18 +125,18 @@
   EXPECT_TRUE(sees_end_of_stream(client));
 }
 
-// The client reads nothing until the end has come: by then an answer stands half in the system's buffers, and
-// requests behind it. Each answer is whole, and nothing is reset.
+// The client reads nothing until the shutdown: by then a reply is partly in the kernel's buffers, with
+// requests behind it. Each reply must arrive complete, and the connection must not be reset.
 TEST_F(ClientsTest, AnAnswerThatIsHalfWrittenAtTheEndIsWritten) {
   constexpr size_t kBytes = 60'000;
   const std::string request =
       "*2\r\n$4\r\nPING\r\n$" + std::to_string(kBytes) + "\r\n" + std::string(kBytes, 'x') + "\r\n";
   Socket client = connect();
   std::thread writer([&] {
-    for (int i = 0; i < 100; ++i) EXPECT_TRUE(client.send(request));  // 6 MB: more than is buffered for it
+    for (int i = 0; i < 100; ++i) EXPECT_TRUE(client.send(request));  // 6 MB: more than the kernel buffers
   });
-  // Both sides stand still once the client's part of the buffers is full and then the relay's: nothing
-  // happens any more but the sweep, a few times a second.
+  // Both sides stop once the client's send buffer and then the server's are full. From then on only the sweep
+  // timer runs, ten times a second.
   for (size_t handled = 100; handled > 10;) {
     handled = 0;
     for (const Time from = steady_now(); steady_now() - from < 200'000;) handled += io_.poll();
@@ -149,7 +150,7 @@
       ++replies;
     }
     char byte = 0;
-    EXPECT_EQ(::recv(client.fd(), &byte, 1, 0), 0) << "a reset, or bytes behind the answers";
+    EXPECT_EQ(::recv(client.fd(), &byte, 1, 0), 0) << "a reset, or bytes after the replies";
     writer.join();
     client.half_close();
   });
@@ -158,8 +159,8 @@
   EXPECT_GE(replies, 1u);
 }
 
-// The bytes arrive after the relay has shut the connection: the client, which sees an end and no reset, sends
-// the request once more elsewhere. Acted on here it would be taken on twice.
+// The request arrives after the server has shut the connection down. The client sees the end of the stream
+// and no reset, and sends the request again elsewhere: acted on here, the message would be accepted twice.
 TEST_F(ClientsTest, ARequestThatCrossesTheEndIsNeitherActedOnNorReset) {
   Socket client = connect();
   ASSERT_TRUE(client.send(kPing));
@@ -175,7 +176,7 @@
   run_until_all_closed();
 }
 
-// A client that rests for good, also after it was shown the end, does not hold the relay's end up for long.
+// A client that never closes its connection does not delay the shutdown for long.
 TEST_F(ClientsTest, AClientThatNeverClosesIsLetGo) {
   Socket client = connect();
   ASSERT_TRUE(client.send(kPing));
@@ -187,7 +188,7 @@
   EXPECT_TRUE(sees_end_of_stream(client));
 }
 
-// A connection that came just before the end may have its request on the way.
+// A connection accepted just before the shutdown may have a request in flight.
 TEST_F(ClientsTest, AConnectionThatHasJustComeGetsAMomentToSpeak) {
   Socket client = connect();
   server_.shut_down();
@@ -196,7 +197,7 @@
   EXPECT_EQ(next_line(client), "+OK");
 }
 
-// Clients that keep their connections although they were shown the end take only so many descriptors.
+// Clients that keep connections open which the server has shut down use a bounded number of descriptors.
 TEST_F(ClientsTest, ThoseThatLingerAreBoundedInNumber) {
   const size_t before = open_descriptors();
   std::vector<Socket> clients;
