--- a/admission/room.h
+++ b/admission/room.h
@@ -12,7 +12,7 @@
 // when the first of those held must end at the latest.
 class CapacityForecast {
  public:
-  CapacityForecast(Time least, Time most) : least_(least), most_(most) {}
+  CapacityForecast(Time min_wait, Time max_wait) : min_wait_(min_wait), max_wait_(max_wait) {}
 
   void record_release(Time now, size_t bytes);
 
@@ -21,12 +21,12 @@
   Time time_until_available(Time now, size_t bytes, Time first_end) const;
 
  private:
-  double faded(double rate, Time now) const;
+  double decayed(double rate, Time now) const;
 
-  Time least_, most_;
-  Time at_ = 0;
-  double bytes_ = 0;   // a second, over about the last kMemory
-  double places_ = 0;  // and messages
+  Time min_wait_, max_wait_;
+  Time updated_at_ = 0;
+  double bytes_per_second_ = 0;     // a second, over about the last kMemory
+  double messages_per_second_ = 0;  // and messages
 };
 
 }  // namespace umberhoist::admission
--- a/members/ask_pace.cpp
+++ b/members/ask_pace.cpp
@@ -4,27 +4,28 @@
 
 namespace umberhoist::members {
 
-Time WatchScheduler::within(Time span) {
-  const Time others = span / set_.relays * (set_.relays - 1);
+Time WatchScheduler::random_delay(Time span) {
+  const Time others = span / options_.relays * (options_.relays - 1);
   return std::uniform_int_distribution<Time>(0, others)(random_);
 }
 
 Time WatchScheduler::initial_delay(bool list_known) {
-  return shared() && list_known ? within(set_.request_interval) : 0;
+  return is_paced() && list_known ? random_delay(options_.request_interval) : 0;
 }
 
 Time WatchScheduler::retry_delay(WatchEnd end) {
-  const Time pause = pause_;
-  pause_ = std::min(2 * pause_, kLongestPause);
-  if (!shared()) return pause;
-  Time span = std::min(set_.request_interval, kSpan);
+  const Time min_delay = retry_delay_;
+  retry_delay_ = std::min(2 * retry_delay_, kMaxRetryDelay);
+  if (!is_paced()) return min_delay;
+  Time span = std::min(options_.request_interval, kMaxSpan);
   if (end == WatchEnd::kBroken) {
-    span_ = 0;
-    span = std::min(set_.request_interval, kBrokenSpan);
+    refused_span_ = 0;
+    span = std::min(options_.request_interval, kBrokenWatchSpan);
   } else if (end == WatchEnd::kRefused) {
-    span = span_ = std::min(2 * std::max(span_, set_.request_interval), kMostSpans * set_.request_interval);
+    span = refused_span_ = std::min(2 * std::max(refused_span_, options_.request_interval),
+                                    kMaxRefusedSpans * options_.request_interval);
   }
-  return std::max(pause, within(span));
+  return std::max(min_delay, random_delay(span));
 }
 
 }  // namespace umberhoist::members
--- a/members/ask_pace.h
+++ b/members/ask_pace.h
@@ -35,42 +35,43 @@
   static constexpr Time kMaxNotificationDelay = 6'000'000;
   static constexpr Time kSilenceTimeout = 2'750'000;  // without a line: the next was due after 2 s
 
-  WatchScheduler(WatchScheduleOptions settings, uint64_t seed) : set_(settings), random_(seed) {}
+  WatchScheduler(WatchScheduleOptions options, uint64_t seed) : options_(options), random_(seed) {}
 
   // Pause before the first ask. With a list to start on there is no haste: the fleet may have started as one.
   Time initial_delay(bool list_known);
 
   // How long an ask may go without a word. An agent on this machine answers at once; a discovery that is
   // asked may keep the ask in its queue for 2 s, and what it says then is news.
-  Time first_item_timeout() const { return shared() ? kFirstWordAsked : kFirstWord; }
+  Time first_item_timeout() const { return is_paced() ? kPacedFirstItemTimeout : kFirstItemTimeout; }
 
   // Pause before the next ask.
   Time retry_delay(WatchEnd end);
 
   // Discovery said something: what costs nothing may be asked again soon.
-  void on_item() { pause_ = kFirstPause; }
+  void on_item() { retry_delay_ = kMinRetryDelay; }
 
  private:
-  static constexpr Time kFirstPause = 50'000;
-  static constexpr Time kLongestPause = 500'000;
-  static constexpr Time kFirstWord = 1'000'000;
-  static constexpr Time kFirstWordAsked = 2'500'000;
+  static constexpr Time kMinRetryDelay = 50'000;
+  static constexpr Time kMaxRetryDelay = 500'000;
+  static constexpr Time kFirstItemTimeout = 1'000'000;
+  static constexpr Time kPacedFirstItemTimeout = 2'500'000;
   // Over which the asks of a fleet are spread: after a watch broke, for which its silence was waited out
   // before, and otherwise.
-  static constexpr Time kBrokenSpan = 2'000'000;
-  static constexpr Time kAnswer = 600'000;  // left for the answer
-  static constexpr Time kSpan = kMaxNotificationDelay - kFirstWordAsked - kAnswer;
+  static constexpr Time kBrokenWatchSpan = 2'000'000;
+  static constexpr Time kReplyMargin = 600'000;  // left for the answer
+  static constexpr Time kMaxSpan = kMaxNotificationDelay - kPacedFirstItemTimeout - kReplyMargin;
   // Turned away, each spreads its asks over twice `request_interval` and then twice as long, up to so many
   // times: more ask than discovery can bear, and none would be told otherwise.
-  static constexpr int kMostSpans = 4;
+  static constexpr int kMaxRefusedSpans = 4;
 
-  bool shared() const { return set_.request_interval > 0 && set_.relays > 1; }
-  Time within(Time span);  // at random; of one relay alone there is nobody to keep out of step with
+  bool is_paced() const { return options_.request_interval > 0 && options_.relays > 1; }
+  Time random_delay(Time span);  // at random; of one relay alone there is nobody to keep out of step with
 
-  WatchScheduleOptions set_;
+  WatchScheduleOptions options_;
   std::mt19937_64 random_;
-  Time pause_ = kFirstPause;
-  Time span_ = 0;  // over which the last ask was spread that was turned away; 0: none since a watch stood
+  Time retry_delay_ = kMinRetryDelay;
+  Time refused_span_ =
+      0;  // over which the last ask was spread that was turned away; 0: none since a watch stood
 };
 
 }  // namespace umberhoist::members
--- a/members/list_words.h
+++ b/members/list_words.h
@@ -26,21 +26,21 @@
   };
 
   // `most`: bytes of one list.
-  explicit ListStreamParser(size_t most) : most_(most) {}
+  explicit ListStreamParser(size_t max_bytes) : max_bytes_(max_bytes) {}
 
   void feed(std::string_view bytes) { bytes_ += bytes; }
   Item next();
 
  private:
-  Item cut(ItemKind kind);
+  Item take_item(ItemKind kind);
 
-  size_t most_;
-  std::string bytes_;  // from the present word's first byte on
-  size_t at_ = 0;      // of these, looked at
-  int depth_ = 0;      // of brackets; 0: between lists
-  bool quoted_ = false;
+  size_t max_bytes_;
+  std::string bytes_;    // from the present word's first byte on
+  size_t position_ = 0;  // of these, looked at
+  int depth_ = 0;        // of brackets; 0: between lists
+  bool in_string_ = false;
   bool escaped_ = false;
-  bool empty_line_ = true;  // nothing but blanks since the last line's end
+  bool is_line_blank_ = true;  // nothing but blanks since the last line's end
 };
 
 }  // namespace umberhoist::members
--- a/recovery/return.h
+++ b/recovery/return.h
@@ -63,15 +63,15 @@
  private:
   struct DestinationGate {
     bool may_try = false;
-    bool open = false;  // served since the return
-    size_t window = 1;  // that may be out unanswered
-    size_t out = 0;
-    Time not_before = 0;
+    bool open = false;         // served since the return
+    size_t max_in_flight = 1;  // that may be out unanswered
+    size_t in_flight = 0;
+    Time retry_at = 0;
   };
 
   RecoveryLimits limits_;
   Stage stage_ = Stage::kWaitingForFleet;
-  Time since_ = 0;
+  Time stage_since_ = 0;
   bool without_fleet_ = false;
   std::vector<HeldMessage> held_;  // in the order of service
   std::map<int, DestinationGate> gates_;
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -25,11 +25,11 @@
   // The next whole command; nothing if more bytes are needed. Throws RespError on what is no command.
   std::optional<std::vector<std::string>> next();
 
-  bool empty() const { return read_ == buffer_.size(); }
+  bool empty() const { return consumed_ == buffer_.size(); }
 
  private:
   std::string buffer_;
-  size_t read_ = 0;  // what stands before it was returned
+  size_t consumed_ = 0;  // what stands before it was returned
 };
 
 }  // namespace firspool::relay
--- a/tests/admission/room_test.cpp
+++ b/tests/admission/room_test.cpp
@@ -8,23 +8,23 @@
 constexpr Time kSecond = 1'000'000;
 constexpr Time kFar = 1000 * kSecond;
 
-CapacityForecast after_ends(double a_second, size_t bytes) {
-  CapacityForecast out(kSecond / 10, 3 * kSecond);
-  for (int i = 0; i < 10 * a_second; ++i)
-    out.record_release(static_cast<Time>(i / a_second * kSecond), bytes);
-  return out;
+CapacityForecast forecast_after(double per_second, size_t bytes) {
+  CapacityForecast forecast(kSecond / 10, 3 * kSecond);
+  for (int i = 0; i < 10 * per_second; ++i)
+    forecast.record_release(static_cast<Time>(i / per_second * kSecond), bytes);
+  return forecast;
 }
 
 TEST(CapacityForecast, FollowsHowFastMessagesEnd) {
   // One of 1,000 bytes a second: room for such a one in about a second, for half a one no sooner.
-  const CapacityForecast slow = after_ends(1, 1000);
+  const CapacityForecast slow = forecast_after(1, 1000);
   EXPECT_NEAR(static_cast<double>(slow.time_until_available(10 * kSecond, 1000, kFar)), 1e6, 5e5);
   EXPECT_EQ(slow.time_until_available(10 * kSecond, 500, kFar),
             slow.time_until_available(10 * kSecond, 1000, kFar));
   EXPECT_GT(slow.time_until_available(10 * kSecond, 2000, kFar),
             3 * slow.time_until_available(10 * kSecond, 1000, kFar) / 2);
   // A hundred a second: at once, which is the least that is told.
-  EXPECT_EQ(after_ends(100, 1000).time_until_available(10 * kSecond, 1000, kFar), kSecond / 10);
+  EXPECT_EQ(forecast_after(100, 1000).time_until_available(10 * kSecond, 1000, kFar), kSecond / 10);
 }
 
 TEST(CapacityForecast, WhereNothingEndsTheFirstThatMustEndTells) {
@@ -33,7 +33,7 @@
   EXPECT_EQ(fresh.time_until_available(0, 100, kFar), 3 * kSecond) << "the most that is told";
   EXPECT_EQ(fresh.time_until_available(5 * kSecond, 100, kSecond), kSecond / 10) << "it should have ended";
   // What ended long ago says nothing any more.
-  EXPECT_EQ(after_ends(100, 1000).time_until_available(100 * kSecond, 1000, 102 * kSecond), 2 * kSecond);
+  EXPECT_EQ(forecast_after(100, 1000).time_until_available(100 * kSecond, 1000, 102 * kSecond), 2 * kSecond);
 }
 
 }  // namespace
--- a/tests/members/list_words_test.cpp
+++ b/tests/members/list_words_test.cpp
@@ -12,50 +12,52 @@
 
 using ItemKind = ListStreamParser::ItemKind;
 
-std::vector<ListStreamParser::Item> words_of(const std::string& bytes, size_t most = 1'000'000) {
-  ListStreamParser words(most);
-  words.feed(bytes);
+std::vector<ListStreamParser::Item> items_of(const std::string& bytes, size_t max_bytes = 1'000'000) {
+  ListStreamParser parser(max_bytes);
+  parser.feed(bytes);
   std::vector<ListStreamParser::Item> out;
-  for (ListStreamParser::Item word = words.next(); word.kind != ItemKind::kIncomplete; word = words.next()) {
-    out.push_back(word);
-    if (word.kind == ItemKind::kMalformed) break;
+  for (ListStreamParser::Item item = parser.next(); item.kind != ItemKind::kIncomplete;
+       item = parser.next()) {
+    out.push_back(item);
+    if (item.kind == ItemKind::kMalformed) break;
   }
   return out;
 }
 
 TEST(ListStreamParser, AListOnOneLineAndEmptyLines) {
-  const auto words = words_of("\n{\"a\":[1,{}]}\n\r\n  {\"b\":\"}\\\"{\"}");
+  const auto items = items_of("\n{\"a\":[1,{}]}\n\r\n  {\"b\":\"}\\\"{\"}");
   std::vector<std::string> lists;
-  size_t alive = 0;
-  for (const auto& word : words) {
-    if (word.kind == ItemKind::kList) lists.push_back(word.text.substr(word.text.find('{')));
-    alive += word.kind == ItemKind::kKeepAlive;
+  size_t keep_alives = 0;
+  for (const auto& item : items) {
+    if (item.kind == ItemKind::kList) lists.push_back(item.text.substr(item.text.find('{')));
+    keep_alives += item.kind == ItemKind::kKeepAlive;
   }
   EXPECT_EQ(lists, (std::vector<std::string>{"{\"a\":[1,{}]}", "{\"b\":\"}\\\"{\"}"}));
-  EXPECT_EQ(alive, 3u);
+  EXPECT_EQ(keep_alives, 3u);
 }
 
 TEST(ListStreamParser, AListThatBreaksOffDoesNotSwallowWhatFollows) {
-  for (const std::string torn : {"{\"revision\":4", "{\"revision\":", "{\"members\":[{", "{\"id\":\"s-"}) {
-    const auto words = words_of(torn + "\n\n{}\n");
-    ASSERT_FALSE(words.empty()) << torn;
-    EXPECT_EQ(words.back().kind, ItemKind::kMalformed) << torn;
+  for (const std::string truncated :
+       {"{\"revision\":4", "{\"revision\":", "{\"members\":[{", "{\"id\":\"s-"}) {
+    const auto items = items_of(truncated + "\n\n{}\n");
+    ASSERT_FALSE(items.empty()) << truncated;
+    EXPECT_EQ(items.back().kind, ItemKind::kMalformed) << truncated;
   }
 }
 
 TEST(ListStreamParser, WhatCanBeNoListIsToldAtOnce) {
   for (const std::string bytes : {"x", "[1]", "\"text\"", "null", "}", "\x16\x03"}) {
-    const auto words = words_of(bytes);
-    ASSERT_EQ(words.size(), 1u) << bytes;
-    EXPECT_EQ(words.front().kind, ItemKind::kMalformed) << bytes;
+    const auto items = items_of(bytes);
+    ASSERT_EQ(items.size(), 1u) << bytes;
+    EXPECT_EQ(items.front().kind, ItemKind::kMalformed) << bytes;
   }
 }
 
 TEST(ListStreamParser, AListIsBounded) {
-  const std::string endless = "{\"a\":\"" + std::string(2000, 'x');
-  EXPECT_EQ(words_of(endless, 1000).back().kind, ItemKind::kMalformed);
-  EXPECT_EQ(words_of("{" + std::string(2000, ' '), 1000).back().kind, ItemKind::kMalformed);
-  EXPECT_TRUE(words_of("{\"a\":\"" + std::string(500, 'x'), 1000).empty());
+  const std::string unterminated = "{\"a\":\"" + std::string(2000, 'x');
+  EXPECT_EQ(items_of(unterminated, 1000).back().kind, ItemKind::kMalformed);
+  EXPECT_EQ(items_of("{" + std::string(2000, ' '), 1000).back().kind, ItemKind::kMalformed);
+  EXPECT_TRUE(items_of("{\"a\":\"" + std::string(500, 'x'), 1000).empty());
 }
 
 nlohmann::json random_value(std::mt19937_64& random, int depth) {
@@ -97,16 +99,16 @@
       bytes += written.back().dump(static_cast<int>(random() % 6) - 1) + (random() % 3 == 0 ? "\r\n" : "\n");
       for (size_t empty = random() % 3; empty > 0; --empty) bytes += "\n";
     }
-    ListStreamParser words(1'000'000);
+    ListStreamParser parser(1'000'000);
     std::vector<nlohmann::json> read;
     for (size_t from = 0; from < bytes.size();) {
       const size_t count = 1 + random() % 40;
-      words.feed(bytes.substr(from, count));
+      parser.feed(bytes.substr(from, count));
       from += count;
-      for (ListStreamParser::Item word = words.next(); word.kind != ItemKind::kIncomplete;
-           word = words.next()) {
-        ASSERT_NE(word.kind, ItemKind::kMalformed) << bytes;
-        if (word.kind == ItemKind::kList) read.push_back(nlohmann::json::parse(word.text));
+      for (ListStreamParser::Item item = parser.next(); item.kind != ItemKind::kIncomplete;
+           item = parser.next()) {
+        ASSERT_NE(item.kind, ItemKind::kMalformed) << bytes;
+        if (item.kind == ItemKind::kList) read.push_back(nlohmann::json::parse(item.text));
       }
     }
     EXPECT_EQ(read, written) << "seed " << seed;
@@ -119,7 +121,7 @@
     std::mt19937_64 random(seed);
     std::string bytes;
     for (size_t i = random() % 200; i > 0; --i) bytes += "{}[]\"\\\n\r ,x"[random() % 11];
-    EXPECT_LE(words_of(bytes, 100).size(), bytes.size());
+    EXPECT_LE(items_of(bytes, 100).size(), bytes.size());
   }
 }
 
