--- a/admission/room.cpp
+++ b/admission/room.cpp
@@ -6,7 +6,7 @@
 namespace umberhoist::admission {
 namespace {
 
-constexpr double kDecayTimeUs = 2e6;  // microseconds
+constexpr double kDecayTimeUs = 2e6;
 
 }  // namespace
 
--- a/admission/room.h
+++ b/admission/room.h
@@ -1,4 +1,4 @@
-// When there is likely to be room again for what had to be turned away. No I/O, no clock of its own.
+// Estimates when there will be capacity for a message that was refused for lack of it. No I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -8,16 +8,16 @@
 
 using Time = int64_t;  // microseconds
 
-// Room comes back as messages end. How soon is told by how much ended lately; where hardly anything does, by
-// when the first of those held must end at the latest.
+// Capacity is released as messages end. The estimate uses the recent release rate; where hardly any message
+// ends, the time at which the first open message is given up.
 class CapacityForecast {
  public:
   CapacityForecast(Time min_wait, Time max_wait) : min_wait_(min_wait), max_wait_(max_wait) {}
 
   void record_release(Time now, size_t bytes);
 
-  // How long until so many bytes and one place are likely to be free; between the bounds. `first_end`: when
-  // the first of the messages held is given up.
+  // Estimated time until `bytes` and one message slot are free, between min_wait and max_wait. `first_end`:
+  // when the first of the open messages is given up.
   Time time_until_available(Time now, size_t bytes, Time first_end) const;
 
  private:
@@ -25,8 +25,8 @@
 
   Time min_wait_, max_wait_;
   Time updated_at_ = 0;
-  double bytes_per_second_ = 0;     // a second, over about the last kMemory
-  double messages_per_second_ = 0;  // and messages
+  double bytes_per_second_ = 0;  // exponentially decaying average over about the last kDecayTimeUs
+  double messages_per_second_ = 0;
 };
 
 }  // namespace umberhoist::admission
--- a/members/list_words.cpp
+++ b/members/list_words.cpp
@@ -15,7 +15,7 @@
   while (position_ < bytes_.size()) {
     const char byte = bytes_[position_++];
     if (in_string_) {
-      if (byte == '\n') return take_item(ItemKind::kMalformed);  // JSON has no line's end within a string
+      if (byte == '\n') return take_item(ItemKind::kMalformed);  // JSON strings contain no raw line breaks
       if (!std::exchange(escaped_, false)) {
         escaped_ = byte == '\\';
         in_string_ = byte != '"';
@@ -26,7 +26,7 @@
       const bool was_blank = std::exchange(is_line_blank_, true);
       if (depth_ == 0) return take_item(ItemKind::kKeepAlive);
       if (was_blank)
-        return take_item(ItemKind::kMalformed);  // an empty line stands between lists: this one broke off
+        return take_item(ItemKind::kMalformed);  // an empty line separates lists: this one is truncated
       continue;
     }
     if (byte == ' ' || byte == '\t' || byte == '\r') continue;
--- a/members/list_words.h
+++ b/members/list_words.h
@@ -1,9 +1,8 @@
-// Cuts what a watch brings into its words: an empty line, which says that discovery lives, or one list, a
-// JSON object on a line of its own or indented over several. No I/O.
+// Splits the byte stream of a watch into items: an empty line, which is a keep-alive, or a host list, which
+// is a JSON object on one line or indented over several. No I/O.
 //
-// What can be no list is told as soon as it shows. A list that breaks off and is followed by another, or by
-// empty lines, would otherwise swallow all that comes after it, and the watch would look alive and tell
-// nothing.
+// Malformed input is reported as soon as it is recognizable. Otherwise a truncated list, followed by another
+// or by empty lines, would absorb all that comes after it: the watch would look alive and deliver nothing.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +14,17 @@
 class ListStreamParser {
  public:
   enum class ItemKind {
-    kIncomplete,  // nothing whole has come
+    kIncomplete,  // no complete item has arrived
     kKeepAlive,   // an empty line
-    kList,        // `text` is an object with all its brackets closed; it may still be no JSON
-    kMalformed,   // no list can follow: the watch is to be opened anew
+    kList,        // `text` is an object with balanced brackets; it may still be invalid JSON
+    kMalformed,   // the stream cannot be parsed any further: the watch has to be reopened
   };
   struct Item {
     ItemKind kind = ItemKind::kIncomplete;
     std::string text;
   };
 
-  // `most`: bytes of one list.
+  // `max_bytes` limits the size of one list.
   explicit ListStreamParser(size_t max_bytes) : max_bytes_(max_bytes) {}
 
   void feed(std::string_view bytes) { bytes_ += bytes; }
@@ -35,12 +34,12 @@
   Item take_item(ItemKind kind);
 
   size_t max_bytes_;
-  std::string bytes_;    // from the present word's first byte on
-  size_t position_ = 0;  // of these, looked at
-  int depth_ = 0;        // of brackets; 0: between lists
+  std::string bytes_;    // starts with the first byte of the current item
+  size_t position_ = 0;  // number of bytes_ that were scanned
+  int depth_ = 0;        // nesting depth of brackets; 0: between lists
   bool in_string_ = false;
   bool escaped_ = false;
-  bool is_line_blank_ = true;  // nothing but blanks since the last line's end
+  bool is_line_blank_ = true;  // only white space since the last line break
 };
 
 }  // namespace umberhoist::members
--- a/recovery/return.cpp
+++ b/recovery/return.cpp
@@ -19,7 +19,8 @@
   stage_since_ = now;
 }
 
-// Each served call allows two more: what a destination can bear shows soon, and nothing is pushed before.
+// Slow start: each served call allows two more, so that the load grows only as fast as the destination proves
+// to bear it.
 void StagedRecovery::on_served(int destination, Time) {
   DestinationGate& gate = gates_[destination];
   gate.open = true;
--- a/relay/clients.cpp
+++ b/relay/clients.cpp
@@ -56,9 +56,8 @@
   int64_t value = -1;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || value < 0 || value > max) {
-    throw std::invalid_argument(
-        "a number is unreadable or out of range");  // the text is not quoted: it could contain a line break
-                                                    // and forge a reply
+    // The value is not quoted: a line break in it would forge a reply.
+    throw std::invalid_argument("a number is unreadable or out of range");
   }
   return value;
 }
--- a/relay/resp.cpp
+++ b/relay/resp.cpp
@@ -8,7 +8,7 @@
 
 constexpr size_t kMaxDigits = 7;
 
-// Reads "<mark><number>\r\n" at `at` and moves past it; nothing if it is not all there yet.
+// Reads "<type><number>\r\n" at `position` and moves past it; nothing if it is incomplete.
 std::optional<size_t> read_header(std::string_view bytes, size_t& position, char type) {
   if (position == bytes.size()) return {};
   if (bytes[position] != type) throw RespError(std::string("expected '") + type + "'");
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-// What was returned goes once for all commands of a read: hundreds may come at once.
+// Erases returned commands once per read and not once per command: one read may bring hundreds.
 void RespParser::feed(std::string_view bytes) {
   buffer_.erase(0, std::exchange(consumed_, 0));
   buffer_.append(bytes);
@@ -52,7 +52,7 @@
   }
   std::vector<std::string> out(words.begin(), words.end());
   consumed_ += position;
-  if (empty()) {  // a connection that is idle keeps no large buffer
+  if (empty()) {  // frees the buffer, so that idle connections hold no memory
     std::string().swap(buffer_);
     consumed_ = 0;
   }
--- a/relay/resp.h
+++ b/relay/resp.h
@@ -1,4 +1,4 @@
-// RESP2 requests: arrays of bulk strings, read piece by piece.
+// Incremental parser of RESP2 requests, which are arrays of bulk strings.
 #pragma once
 
 #include <optional>
@@ -22,14 +22,15 @@
 
   void feed(std::string_view bytes);
 
-  // The next whole command; nothing if more bytes are needed. Throws RespError on what is no command.
+  // Returns the next complete command, or nothing if more bytes are needed. Throws RespError on a protocol
+  // error.
   std::optional<std::vector<std::string>> next();
 
   bool empty() const { return consumed_ == buffer_.size(); }
 
  private:
   std::string buffer_;
-  size_t consumed_ = 0;  // what stands before it was returned
+  size_t consumed_ = 0;  // bytes at the front of buffer_ that were returned already
 };
 
 }  // namespace firspool::relay
--- a/tests/members/ask_pace_test.cpp
+++ b/tests/members/ask_pace_test.cpp
@@ -1,4 +1,4 @@
-// When relays ask discovery, against a modelled one that a whole fleet shares.
+// When relays send requests to discovery, against a model of one that a whole fleet shares.
 #include "members/ask_pace.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   int requests = 0;
 };
 
-// Relays of a fleet of so many that start in one moment with the lists they kept.
+// Starts that many relays of a fleet at the same moment, each with a known host list.
 StartResult start_at_once(int starting, WatchScheduleOptions options, double capacity_per_s, uint64_t seed) {
   OverloadedDirectory directory(capacity_per_s, 2 * kSecond, 2);
   std::vector<WatchScheduler> schedulers;
@@ -49,9 +49,9 @@
 
 TEST(WatchScheduler, SevenInTenRelaysKilledInOneSecondWithListsOverbooked) {
   for (const uint64_t seed : {1, 2, 3}) {
-    // As where an ask costs nothing: all ask at once, and again within seconds.
+    // Scheduled as if requests cost nothing: all relays request at once, and again within seconds.
     const StartResult unpaced = start_at_once(70, {0, 100}, 7, seed);
-    EXPECT_LT(unpaced.served_by_60_s, 20) << "the model no longer shows what the pace is for";
+    EXPECT_LT(unpaced.served_by_60_s, 20) << "the model no longer shows why requests are paced";
     const StartResult paced = start_at_once(70, {kRequestInterval, 100}, 7, seed);
     EXPECT_GE(paced.served_by_20_s, 60) << "seed " << seed;
     EXPECT_EQ(paced.served_by_60_s, 70) << "seed " << seed;
@@ -59,7 +59,7 @@
   }
 }
 
-// One ask from each takes twice as long as they are expected to take: those turned away leave room.
+// One request from each relay takes twice the request interval to serve: rejected relays have to back off.
 TEST(WatchScheduler, AFleetThatAsksForMoreThanDiscoveryHasBacksOffUntilAllAreTold) {
   for (const int relays : {100, 300}) {
     const double capacity_per_s = relays / 20.0;
@@ -69,7 +69,7 @@
   }
 }
 
-// No pause is longer than half a second: discovery may be back at any time.
+// No delay is longer than half a second: discovery may be back at any time.
 TEST(WatchScheduler, WhereAskingCostsNothingItIsDoneAtOnceAndAgainSoon) {
   WatchScheduler scheduler({0, 100}, 1);
   EXPECT_EQ(scheduler.initial_delay(true), 0);
@@ -90,8 +90,8 @@
   EXPECT_EQ(WatchScheduler({kRequestInterval, 100}, 1).initial_delay(false), 0);
 }
 
-// The clock of a watch that falls silent, and of asks that nobody answers: whatever falls silent on the way,
-// an ask that is answered within half a second ends less than 6 s after discovery had the change and could be
+// The delays of a watch that falls silent, and of requests without a reply: whatever falls silent, a request
+// that is answered within half a second ends less than 6 s after discovery had the change and could be
 // reached.
 TEST(WatchScheduler, SilenceIsNeverWaitedOutForLongerThanAChangeMayTake) {
   constexpr Time kReplyTime = kSecond / 2;
@@ -99,11 +99,11 @@
     for (uint64_t seed = 1; seed <= 200; ++seed) {
       WatchScheduler scheduler({interval, 100}, seed);
       scheduler.on_item();
-      // The watch: its last line, then the silence that shows, then the pause.
+      // The watch: its last line, then the silence time-out, then the delay.
       EXPECT_LT(WatchScheduler::kSilenceTimeout + scheduler.retry_delay(WatchEnd::kBroken) + kReplyTime,
                 WatchScheduler::kMaxNotificationDelay);
       for (int i = 0; i < 20; ++i) {
-        // Discovery is back in the moment after an ask went out that nobody answers.
+        // Discovery is back the moment after a request was sent that gets no reply.
         EXPECT_LT(scheduler.first_item_timeout() + scheduler.retry_delay(WatchEnd::kNoResponse) + kReplyTime,
                   WatchScheduler::kMaxNotificationDelay);
       }
@@ -111,7 +111,7 @@
   }
 }
 
-// Where asks cost nothing, three of them fall into that time though each but the last is met with silence.
+// Where requests cost nothing, there is time for three of them even if only the last one gets a reply.
 TEST(WatchScheduler, AWatchThatFallsSilentAgainWhileItIsReplacedIsReplacedInTime) {
   WatchScheduler scheduler({0, 300}, 1);
   scheduler.on_item();
@@ -124,7 +124,7 @@
             WatchScheduler::kMaxNotificationDelay);
 }
 
-// Turned away again and again, asks are spread further and further, and no further than four spans.
+// After repeated rejections requests are spread over longer and longer spans, up to four request intervals.
 TEST(WatchScheduler, NoPauseIsLongerThanFourSpansAndAWatchThatStoodStartsAnew) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     WatchScheduler scheduler({kRequestInterval, 100}, seed);
@@ -132,7 +132,7 @@
     EXPECT_LE(scheduler.retry_delay(WatchEnd::kRefused), 2 * kRequestInterval);
     for (int i = 0; i < 20; ++i) {
       EXPECT_LE(scheduler.retry_delay(WatchEnd::kRefused), 4 * kRequestInterval);
-      scheduler.on_item();  // a line alone does not say that discovery took the ask
+      scheduler.on_item();  // an item alone does not show that discovery accepted the request
     }
     EXPECT_LE(scheduler.retry_delay(WatchEnd::kBroken), 2 * kSecond);
   }
--- a/tests/members/list_words_test.cpp
+++ b/tests/members/list_words_test.cpp
@@ -1,4 +1,4 @@
-// What a watch brings, cut into words, whatever the pieces in which it comes.
+// The stream of a watch is split into the same items however it is cut into reads.
 #include "members/list_words.h"
 
 #include <gtest/gtest.h>
@@ -88,7 +88,7 @@
   }
 }
 
-// The oracle is the list of objects that were written, each indented as it may be, with empty lines between.
+// The expected result is the sequence of objects written, with random indentation and empty lines in between.
 TEST(ListStreamParser, RandomListsInRandomPiecesAreTheListsThatWereWritten) {
   for (uint64_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937_64 random(seed);
@@ -115,7 +115,7 @@
   }
 }
 
-// Noise never stops it from ending: each call takes bytes or says that there is nothing.
+// On random bytes the parser always terminates: each call consumes input or reports that there is none.
 TEST(ListStreamParser, NoiseIsEitherWordsOrSpoilt) {
   for (uint64_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937_64 random(seed);
--- a/tests/recovery/return_test.cpp
+++ b/tests/recovery/return_test.cpp
@@ -1,4 +1,4 @@
-// The return of one relay, stage by stage.
+// Recovery of one relay after a restart, stage by stage.
 #include "recovery/return.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 TEST(Return, WithoutTheFleetsWordItGoesOnAloneAtTheDeadline) {
   StagedRecovery recovery({}, messages(3, 7), 0);
   EXPECT_TRUE(recovery.release(1 * kSecond).empty());
-  EXPECT_EQ(recovery.release(2 * kSecond).size(), 1U);  // one, until it is known what the destination bears
+  EXPECT_EQ(recovery.release(2 * kSecond).size(), 1U);  // only one until the destination has served a call
   EXPECT_TRUE(recovery.without_fleet());
 }
 
@@ -77,7 +77,7 @@
   held[0].due = 4 * kSecond;
   StagedRecovery recovery({}, held, 0);
   recovery.set_may_try(7, false);
-  EXPECT_EQ(recovery.release(1 * kSecond), (std::vector<uint64_t>{1}));  // its end is owed in time
+  EXPECT_EQ(recovery.release(1 * kSecond), (std::vector<uint64_t>{1}));  // its notice must be in time
   recovery.on_fleet_ready(1 * kSecond);
   std::vector<uint64_t> first = recovery.release(1 * kSecond);
   EXPECT_TRUE(first.empty());
@@ -86,7 +86,7 @@
   EXPECT_EQ(recovery.stage(), Stage::kComplete);
 }
 
-// Whatever happens, each message is handed on exactly once, and before its end.
+// In any sequence of events, each message is released exactly once and before it is due.
 TEST(Return, EachMessageOnceInAnyHistory) {
   std::mt19937 random(5);
   for (int round = 0; round < 2000; ++round) {
