--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -12,9 +12,11 @@
 using nlohmann::json;
 
 // What each relay of a fleet has for itself.
-const char* const kOwn[] = {"name", "listen", "discovery", "seed", "known", "fleet"};
+const char* const kOwnKeys[] = {"name", "listen", "discovery", "seed", "known", "fleet"};
 
-std::string scalar(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
+std::string scalar_text(const json& value) {
+  return value.is_string() ? value.get<std::string>() : value.dump();
+}
 
 void flatten_into(const json& value, const std::string& path, std::string& out) {
   const std::string prefix = path.empty() ? "" : path + ".";
@@ -24,15 +26,15 @@
     out += prefix + "count=" + std::to_string(value.size()) + "\n";
     for (size_t i = 0; i < value.size(); ++i) flatten_into(value[i], prefix + std::to_string(i), out);
   } else if (value.is_array()) {
-    std::string joined;
-    for (const json& item : value) joined += (joined.empty() ? "" : ",") + scalar(item);
-    out += path + "=" + joined + "\n";
+    std::string list;
+    for (const json& item : value) list += (list.empty() ? "" : ",") + scalar_text(item);
+    out += path + "=" + list + "\n";
   } else {
-    out += path + "=" + scalar(value) + "\n";
+    out += path + "=" + scalar_text(value) + "\n";
   }
 }
 
-std::string needed(const char* variable) {
+std::string required_variable(const char* variable) {
   const char* value = std::getenv(variable);
   if (value == nullptr || *value == '\0') {
     throw std::invalid_argument(std::string("environment variable ") + variable + " is not set");
@@ -48,10 +50,10 @@
   return out;
 }
 
-Config parse_config(const std::string& text, const std::string& state) {
+Config parse_config(const std::string& text, const std::string& state_folder) {
   const json root = json::parse(text);
   Config out;
-  out.state_folder = state;
+  out.state_folder = state_folder;
   out.name = root.at("name").get<std::string>();
   out.listen = parse_address(root.at("listen").get<std::string>());
   out.discovery = parse_address(root.at("discovery").get<std::string>());
@@ -75,32 +77,32 @@
   out.report_fields = report.value("fields", std::vector<std::string>{});
   out.known_hosts = parse_list(root.at("known"), out.list_names);
   if (root.contains("fleet") && root["fleet"].is_string()) out.fleet_file = root["fleet"].get<std::string>();
-  out.text = text;
+  out.source_text = text;
   out.common_settings = common_settings(text);
   return out;
 }
 
 std::string common_settings(const std::string& text) {
   json common = json::parse(text);
-  for (const char* own : kOwn) common.erase(own);
+  for (const char* own : kOwnKeys) common.erase(own);
   return common.dump();
 }
 
 Config with_common_settings(const Config& own, const std::string& common) {
-  json merged = json::parse(own.text);
-  if (common.empty()) return parse_config(own.text, own.state_folder);
-  json mine = json::object();
-  for (const char* key : kOwn) {
-    if (merged.contains(key)) mine[key] = merged[key];
+  json merged = json::parse(own.source_text);
+  if (common.empty()) return parse_config(own.source_text, own.state_folder);
+  json own_part = json::object();
+  for (const char* key : kOwnKeys) {
+    if (merged.contains(key)) own_part[key] = merged[key];
   }
   merged = json::parse(common);
-  merged.update(mine);
+  merged.update(own_part);
   return parse_config(merged.dump(), own.state_folder);
 }
 
 Config load_config() {
-  const std::string path = needed("PROXY_CONFIG");
-  const std::string state = needed("PROXY_STATE");
+  const std::string path = required_variable("PROXY_CONFIG");
+  const std::string state = required_variable("PROXY_STATE");
   std::ifstream file(path, std::ios::binary);
   if (!file) throw std::invalid_argument("cannot read " + path);
   return parse_config({std::istreambuf_iterator<char>(file), {}}, state);
--- a/relay/config.h
+++ b/relay/config.h
@@ -25,7 +25,7 @@
   std::vector<std::string> report_fields;
   HostList known_hosts;
   std::string fleet_file;       // file that tells of the other relays; empty: none
-  std::string text;             // the whole of it, as it was read
+  std::string source_text;      // the whole of it, as it was read
   std::string common_settings;  // what has to be alike at all relays of a fleet
 };
 
@@ -33,7 +33,7 @@
 std::string flatten(const nlohmann::json& settings);
 
 // Throws std::exception with one line that says what is missing or unreadable.
-Config parse_config(const std::string& text, const std::string& state);
+Config parse_config(const std::string& text, const std::string& state_folder);
 Config load_config();
 
 // What has to be alike at all relays of a fleet, of a whole configuration's JSON. Throws std::exception.
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -8,7 +8,7 @@
 namespace firspool::relay {
 namespace {
 
-constexpr Time kKeepGone = 120'000'000;  // no agent is further behind
+constexpr Time kRemovedRetention = 120'000'000;  // no agent is further behind
 
 int index_of(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
@@ -45,33 +45,33 @@
     host.member.destination = entry.at("cell").get<int>();
     host.member.weight = entry.value("size", 0.0);
     host.up_since = 1000 * entry.value("up_since_ms", Time{0});
-    host.text = entry.dump();
+    host.json_text = entry.dump();
     out.hosts.push_back(std::move(host));
   }
   return out;
 }
 
 // Whether an older list's entry undoes what was told: an id that has left comes back only with a new start.
-bool Directory::brings_back(const ListedHost& listed) const {
-  const auto gone = removed_.find(listed.id);
-  if (gone != removed_.end()) return listed.up_since <= gone->second;
-  const auto handle = handles_.find(listed.id);
-  return handle != handles_.end() && hosts_.at(handle->second).member.state >= listed.member.state;
+bool Directory::is_outdated(const ListedHost& listed) const {
+  const auto removed = removed_.find(listed.id);
+  if (removed != removed_.end()) return listed.up_since <= removed->second;
+  const auto handle = handles_by_id_.find(listed.id);
+  return handle != handles_by_id_.end() && hosts_.at(handle->second).member.state >= listed.member.state;
 }
 
-void Directory::set(const ListedHost& listed, Time wall, std::vector<Member>& changed) {
-  const bool left = listed.member.state == HostState::kRemoved;
-  auto handle = handles_.find(listed.id);
-  if (handle == handles_.end()) {
-    if (left) return void(removed_.try_emplace(listed.id, wall));
-    handle = handles_.emplace(listed.id, Endpoint{++last_handle_, 0}).first;
+void Directory::update_host(const ListedHost& listed, Time wall, std::vector<Member>& changed) {
+  const bool removed = listed.member.state == HostState::kRemoved;
+  auto handle = handles_by_id_.find(listed.id);
+  if (handle == handles_by_id_.end()) {
+    if (removed) return void(removed_.try_emplace(listed.id, wall));
+    handle = handles_by_id_.emplace(listed.id, Endpoint{++last_handle_, 0}).first;
   }
   ListedHost& host = hosts_[handle->second];
   host = listed;
   host.member.endpoint = handle->second;
   changed.push_back(host.member);
   destinations_.insert(host.member.destination);
-  if (left) {
+  if (removed) {
     removed_.try_emplace(listed.id, wall);
   } else {
     removed_.erase(listed.id);
@@ -79,10 +79,10 @@
 }
 
 std::optional<MembersChanged> Directory::apply(const HostList& list, Time wall) {
-  const bool behind = list.revision < revision_;
+  const bool is_older = list.revision < revision_;
   revision_ = std::max(revision_, list.revision);
   auto members = std::make_shared<std::vector<Member>>();
-  if (list.complete && !behind) {
+  if (list.complete && !is_older) {
     std::set<std::string> listed;
     for (const ListedHost& host : list.hosts) listed.insert(host.id);
     for (auto& [handle, host] : hosts_) {
@@ -93,7 +93,7 @@
     }
   }
   for (const ListedHost& listed : list.hosts) {
-    if (!behind || !brings_back(listed)) set(listed, wall, *members);
+    if (!is_older || !is_outdated(listed)) update_host(listed, wall, *members);
   }
   if (members->empty()) return {};
   MembersChanged out;
@@ -105,14 +105,14 @@
 void Directory::erase(const Endpoint& endpoint) {
   const auto it = hosts_.find(endpoint);
   if (it == hosts_.end()) return;
-  handles_.erase(it->second.id);
+  handles_by_id_.erase(it->second.id);
   hosts_.erase(it);
 }
 
 std::vector<std::string> Directory::prune_removed(Time wall) {
   std::vector<std::string> out;
   std::erase_if(removed_, [&](const auto& entry) {
-    if (wall - entry.second < kKeepGone || handles_.contains(entry.first)) return false;
+    if (wall - entry.second < kRemovedRetention || handles_by_id_.contains(entry.first)) return false;
     out.push_back(entry.first);
     return true;
   });
--- a/relay/directory.h
+++ b/relay/directory.h
@@ -19,9 +19,9 @@
 struct ListedHost {
   std::string id;
   tcp::endpoint address;
-  Member member;      // its endpoint is filled in by the Directory
-  Time up_since = 0;  // wall clock; 0: long ago
-  std::string text;   // the entry as it came
+  Member member;          // its endpoint is filled in by the Directory
+  Time up_since = 0;      // wall clock; 0: long ago
+  std::string json_text;  // the entry as it came
 };
 
 struct HostList {
@@ -67,12 +67,12 @@
   std::vector<std::string> prune_removed(Time wall);  // the ids that are kept no longer
 
  private:
-  bool brings_back(const ListedHost& listed) const;
-  void set(const ListedHost& listed, Time wall, std::vector<Member>& changed);
+  bool is_outdated(const ListedHost& listed) const;
+  void update_host(const ListedHost& listed, Time wall, std::vector<Member>& changed);
 
   int64_t revision_ = -1;
   uint32_t last_handle_ = 0;
-  std::map<std::string, Endpoint> handles_;
+  std::map<std::string, Endpoint> handles_by_id_;
   std::map<Endpoint, ListedHost> hosts_;
   std::map<std::string, Time> removed_;  // when that was told
   std::set<int> destinations_;
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -289,7 +289,7 @@
 
 void Relay::remember_host(const ListedHost& host) {
   const bool gone = host.member.state == HostState::kRemoved;
-  journal_.put_metadata(kHost + host.id, gone ? "" : host.text);
+  journal_.put_metadata(kHost + host.id, gone ? "" : host.json_text);
   journal_.put_metadata(kGone + host.id, gone ? std::to_string(directory_.removed().at(host.id)) : "");
 }
 
@@ -319,7 +319,7 @@
   fleet_->propose(config.common_settings, [this, config, told](bool done, const std::string& why) {
     if (done) {
       take_over(config);
-      config_.text = config.text;  // a version that comes later keeps what is this relay's own
+      config_.source_text = config.source_text;  // a version that comes later keeps what is this relay's own
     }
     told(done ? "configuration read again, and known to the fleet" : "configuration stays as it was: " + why);
   });
