--- a/relay/fleet_side.cpp
+++ b/relay/fleet_side.cpp
@@ -29,9 +29,9 @@
   tick();
 }
 
-void FleetAdapter::resume(const Arrival& in) { waiting_[in.id] = in; }
+void FleetAdapter::add_recovered(const Arrival& in) { waiting_[in.id] = in; }
 
-void FleetAdapter::resumed(Time now) {
+void FleetAdapter::start_recovery(Time now) {
   std::vector<umberhoist::recovery::HeldMessage> held;
   for (const auto& [number, in] : waiting_) {
     const ClassSettings& c = settings_.classes[in.message_class];
@@ -48,12 +48,12 @@
   hand_over(now);
 }
 
-void FleetAdapter::finished(uint64_t number) {
+void FleetAdapter::on_message_ended(uint64_t number) {
   if (return_) return_->remove(number);
   waiting_.erase(number);
 }
 
-void FleetAdapter::ended(int destination, Outcome outcome, Time now) {
+void FleetAdapter::on_attempt_ended(int destination, Outcome outcome, Time now) {
   const bool served = outcome == Outcome::kOk || outcome == Outcome::kMalformed;
   if (served) served_[destination] = now;
   if (!return_) return;
@@ -61,7 +61,7 @@
   hand_over(now);
 }
 
-void FleetAdapter::remember(const DestinationState& memory) {
+void FleetAdapter::on_destination_state(const DestinationState& memory) {
   if (memory.outage_start == 0) {
     outages_.erase(memory.destination);
   } else {
@@ -86,7 +86,7 @@
 void FleetAdapter::follow_version() {
   const auto version = fleet_->version();
   if (version.number == running_) return;
-  if (!hooks_.take_over(version.text)) {
+  if (!hooks_.apply_version(version.text)) {
     if (text_ != version.text) {
       std::fprintf(stderr, "version %llu cannot be run here\n",
                    static_cast<unsigned long long>(version.number));
@@ -101,7 +101,7 @@
 }
 
 void FleetAdapter::tell_fleet(Time now) {
-  const std::vector<int> held = outages_.empty() ? std::vector<int>{} : hooks_.held();
+  const std::vector<int> held = outages_.empty() ? std::vector<int>{} : hooks_.open_destinations();
   std::erase_if(served_, [&](const auto& entry) { return now - entry.second > kLately; });
   std::map<int, HealthReport> sights;
   for (const auto& [destination, memory] : outages_) {
@@ -126,13 +126,13 @@
     const TrialAssignment::Duty next =
         memory.recovery_start == 0 ? by(fleet_->trial_duty(destination)) : TrialAssignment::Duty::kShared;
     TrialAssignment::Duty& last = scouting_[destination];
-    if (next != last) hooks_.happened(TrialAssignment{destination, next});
+    if (next != last) hooks_.post_event(TrialAssignment{destination, next});
     last = next;
   }
   std::erase_if(scouting_, [&](const auto& entry) {
     if (outages_.contains(entry.first)) return false;
     if (entry.second != TrialAssignment::Duty::kShared)
-      hooks_.happened(TrialAssignment{entry.first, TrialAssignment::Duty::kShared});
+      hooks_.post_event(TrialAssignment{entry.first, TrialAssignment::Duty::kShared});
     return true;
   });
   for (const HealthReport& sight : fleet_->health_reports()) {
@@ -144,7 +144,7 @@
     if (!news) continue;
     last = {sight.outage_start, sight.recovery_start};
     if (sight.outage_start != 0) {
-      hooks_.happened(
+      hooks_.post_event(
           PeerHealthReport{sight.destination, sight.outage_start, sight.recovery_start, sight.baseline_rate});
     }
   }
@@ -153,13 +153,13 @@
 void FleetAdapter::hand_over(Time now) {
   if (!return_) return;
   if (fleet_->is_confirmed()) return_->on_fleet_ready(now);
-  for (const int destination : hooks_.destinations())
+  for (const int destination : hooks_.known_destinations())
     return_->set_may_try(destination, fleet_->owns(destination));
   const auto stage = return_->stage();
   for (const uint64_t number : return_->release(now)) {
     const auto it = waiting_.find(number);
     if (it == waiting_.end()) continue;
-    hooks_.happened(it->second);
+    hooks_.post_event(it->second);
     waiting_.erase(it);
   }
   if (stage == return_->stage()) return;
--- a/relay/fleet_side.h
+++ b/relay/fleet_side.h
@@ -19,25 +19,25 @@
 class FleetAdapter {
  public:
   struct Hooks {
-    std::function<void(Event)> happened;
-    std::function<std::vector<int>()> destinations;     // all that are known
-    std::function<std::vector<int>()> held;             // destinations of what is held
-    std::function<bool(const std::string&)> take_over;  // a version's text; empty: the own file's
+    std::function<void(Event)> post_event;
+    std::function<std::vector<int>()> known_destinations;   // all that are known
+    std::function<std::vector<int>()> open_destinations;    // destinations of what is held
+    std::function<bool(const std::string&)> apply_version;  // a version's text; empty: the own file's
   };
 
   FleetAdapter(boost::asio::io_context& io, std::unique_ptr<umberhoist::fleet::Fleet> fleet,
                const Settings& settings, uint64_t seed, Hooks hooks);
 
   // A message from before the restart: handed to the module when its turn has come.
-  void resume(const Arrival& in);
-  void resumed(Time now);  // no more of them come
-  void ended(int destination, Outcome outcome, Time now);
-  void remember(const DestinationState& memory);
-  void finished(uint64_t number);
+  void add_recovered(const Arrival& in);
+  void start_recovery(Time now);  // no more of them come
+  void on_attempt_ended(int destination, Outcome outcome, Time now);
+  void on_destination_state(const DestinationState& memory);
+  void on_message_ended(uint64_t number);
   void propose(std::string text, std::function<void(bool, const std::string&)> told) {
     fleet_->propose_version(std::move(text), std::move(told));
   }
-  void leaving() { fleet_->announce_leaving(); }
+  void announce_shutdown() { fleet_->announce_leaving(); }
 
  private:
   void tick();
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -31,66 +31,67 @@
   // std::exception where it cannot serve. `files`: in place of the folder that the configuration names.
   // `fleet`: none, and the relay is by itself.
   Relay(boost::asio::io_context& io, const Config& config,
-        std::function<void(const tcp::endpoint&)> listening,
+        std::function<void(const tcp::endpoint&)> on_listening,
         std::unique_ptr<umberhoist::state::Files> files = nullptr,
         std::unique_ptr<umberhoist::fleet::Fleet> fleet = nullptr);
 
   // Takes the new configuration's discovery over; the rest of it holds from the next start on. In a fleet it
-  // is first proposed to all, who run it, or none does; `told` says what came of it.
-  void reload(const Config& config, std::function<void(const std::string& line)> told);
+  // is first proposed to all, who run it, or none does; `on_done` says what came of it.
+  void reload(const Config& config, std::function<void(const std::string& line)> on_done);
 
   // Planned end: serves a little longer, lets calls finish, and stops the event loop.
   void stop();
 
  private:
-  struct Held {
-    Submission handed;
+  struct OpenMessage {
+    Submission submission;
     Time due = 0;
     int attempts = 0;
     bool accepted = false;  // its record is written
-    uint64_t safe_at = 0;   // the journal's position that its acceptance, and its last attempt, are safe at
-    int recorded = -1;      // the last attempt with a record
+    uint64_t durable_position =
+        0;  // the journal's position that its acceptance, and its last attempt, are safe at
+    int recorded_attempt = -1;  // the last attempt with a record
   };
   template <class Value>
-  struct Unsafe {  // waits until the journal is durable up to its position
+  struct AwaitingSync {  // waits until the journal is durable up to its position
     uint64_t position = 0;
     Value value;
   };
-  struct Pending {  // handed in during this turn, not yet decided on
+  struct PendingSubmission {  // handed in during this turn, not yet decided on
     uint64_t number = 0;
-    ClientServer::ReplyCallback answer;
+    ClientServer::ReplyCallback reply;
   };
 
-  void take_over(const Config& config);
-  bool take_over_version(const std::string& text);
-  void recall();
-  void open();
-  void resume();
-  void remember(const DestinationState& memory);
-  void remember_host(const ListedHost& host);
-  void forget_gone(const Endpoint& endpoint);
+  void apply_config(const Config& config);
+  bool apply_version(const std::string& text);
+  void load_metadata();
+  void open_listener();
+  void resume_messages();
+  void save_destination_state(const DestinationState& memory);
+  void save_host(const ListedHost& host);
+  void release_removed_host(const Endpoint& endpoint);
   int class_of(const std::string& name) const;
   int tenant_of(const std::string& name) const;
-  std::string busy(size_t bytes);
-  void put(Submission handed, ClientServer::ReplyCallback answer);
-  void told(const HostList& list);
+  std::string busy_reply(size_t bytes);
+  void submit(Submission submission, ClientServer::ReplyCallback reply);
+  void on_host_list(const HostList& list);
   Upstream::StartDecision may_start(const Call& call);
   bool may_probe(const Endpoint& endpoint);
-  void ended(const AttemptEnded& end, bool began);
-  void back(const Endpoint& endpoint);
-  void happened(Event event);
+  void on_attempt_ended(const AttemptEnded& end, bool began);
+  void on_call_returned(const Endpoint& endpoint);
+  void post_event(Event event);
   void step();
-  void answer_pending(const std::vector<Action>& actions);
-  void carry_out(const Action& action);
-  void finish(uint64_t number, std::optional<Notice> notice);
+  void reply_to_pending(const std::vector<Action>& actions);
+  void execute(const Action& action);
+  void end_message(uint64_t number, std::optional<Notice> notice);
   void record_notices();
   void send_notices();
-  void answer_taken(uint64_t position, ClientServer::ReplyCallback answer);
+  void reply_accepted(uint64_t position, ClientServer::ReplyCallback reply);
   void sync();
-  void synced(const umberhoist::state::Journal::SyncRequest& sync, bool good);
-  void arm();
-  void wait_for_end();
-  std::pair<int, Endpoint> lane_of(const Member& member) const;
+  void on_synced(const umberhoist::state::Journal::SyncRequest& sync, bool ok);
+  void set_wake_timer();
+  void poll_shutdown();
+  std::pair<int, Endpoint> route_of(const Member& member) const;
 
   boost::asio::io_context& io_;
   Config config_;
@@ -99,38 +100,38 @@
   umberhoist::state::Journal journal_;
   Policy policy_;
   std::vector<Event> events_;
-  std::vector<Pending> pending_;
+  std::vector<PendingSubmission> pending_submissions_;
   bool step_posted_ = false;
   uint64_t last_number_ = 0;
-  std::unordered_map<uint64_t, Held> held_;
-  std::unordered_map<std::string, uint64_t> numbers_;
-  umberhoist::admission::CapacityForecast room_;
-  Time first_end_ = 0;                              // of those held, as it was
-  Time first_end_at_ = 0;                           // at this time
-  std::map<std::pair<int, Endpoint>, Time> waits_;  // told waits: until when nothing goes there
-  std::map<Endpoint, int> out_;                     // calls and probes out
-  Time wake_ = 0;                                   // when the module wants to be asked again; 0: never
-  Time armed_ = 0;                                  // and for when the timer is set
+  std::unordered_map<uint64_t, OpenMessage> open_messages_;
+  std::unordered_map<std::string, uint64_t> numbers_by_id_;
+  umberhoist::admission::CapacityForecast capacity_forecast_;
+  Time first_due_ = 0;                                       // of those held, as it was
+  Time first_due_updated_at_ = 0;                            // at this time
+  std::map<std::pair<int, Endpoint>, Time> route_retry_at_;  // told waits: until when nothing goes there
+  std::map<Endpoint, int> in_flight_;                        // calls and probes out
+  Time wake_at_ = 0;        // when the module wants to be asked again; 0: never
+  Time timer_set_for_ = 0;  // and for when the timer is set
   boost::asio::steady_timer wake_timer_;
   boost::asio::steady_timer stop_timer_;
-  Time stopping_since_ = 0;        // 0: not stopping
-  bool closed_ = false;            // clients were let go
-  std::deque<Notice> unrecorded_;  // not sent: they could not be written yet
-  boost::asio::steady_timer record_timer_;
-  std::deque<Unsafe<ClientServer::ReplyCallback>> unanswered_;
-  std::deque<Unsafe<Notice>> unsent_;
-  bool sync_failed_ = false;  // and is tried again soon
-  bool sync_told_ = false;    // in the log, once for each time that the disk fails
+  Time stopping_since_ = 0;                // 0: not stopping
+  bool clients_shut_down_ = false;         // clients were let go
+  std::deque<Notice> unrecorded_notices_;  // not sent: they could not be written yet
+  boost::asio::steady_timer notice_record_timer_;
+  std::deque<AwaitingSync<ClientServer::ReplyCallback>> unsynced_replies_;
+  std::deque<AwaitingSync<Notice>> unsynced_notices_;
+  bool sync_failed_ = false;          // and is tried again soon
+  bool sync_failure_logged_ = false;  // in the log, once for each time that the disk fails
   boost::asio::steady_timer sync_timer_;
-  NoticeSender notices_;
+  NoticeSender notice_sender_;
   Upstream upstream_;
   DiscoveryWatch watch_;
-  std::function<void(const tcp::endpoint&)> listening_;
+  std::function<void(const tcp::endpoint&)> on_listening_;
   boost::asio::steady_timer open_timer_;
-  std::optional<ClientServer> clients_;  // once what was taken on before is resumed
+  std::optional<ClientServer> client_server_;  // once what was taken on before is resumed
   std::optional<FleetAdapter> fleet_;
   std::optional<boost::asio::thread_pool>
-      syncer_;  // with group durability; the last to come, the first to go
+      sync_thread_;  // with group durability; the last to come, the first to go
 };
 
 }  // namespace firspool::relay
