--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -9,7 +9,8 @@
 namespace firspool::relay {
 namespace {
 
-const std::string kHostPrefix = "host ";  // names of what is remembered
+// Names of the journal's metadata.
+const std::string kHostPrefix = "host ";
 const std::string kDestinationPrefix = "destination ";
 const std::string kRemovedPrefix = "gone ";
 const std::string kRevisionKey = "revision";
@@ -18,23 +19,25 @@
 const std::string kAcceptedReply = "+OK";
 
 constexpr Time kMs = 1000;
-constexpr Time kShutdownGracePeriod = 500 * kMs;  // after SIGTERM: new connections still come for a while
-constexpr Time kShutdownTimeout = 3500 * kMs;     // SIGKILL follows 3.7 s after SIGTERM at the soonest
+constexpr Time kShutdownGracePeriod = 500 * kMs;  // after SIGTERM new connections may still arrive
+constexpr Time kShutdownTimeout = 3500 * kMs;     // the earliest SIGKILL is 3.7 s after SIGTERM
 constexpr Time kShutdownPollInterval = 50 * kMs;
-constexpr Time kDiskRetryDelay = 20 * kMs;  // a notice that the disk did not take
-constexpr Time kMinBusyDelay = 100 * kMs;   // told where there is no room
+constexpr Time kDiskRetryDelay = 20 * kMs;  // after a failed write or sync
+constexpr Time kMinBusyDelay = 100 * kMs;   // sent with -BUSY where there is no capacity
 constexpr Time kMaxBusyDelay = 2000 * kMs;
-constexpr Time kFirstDueMaxAge =
-    100 * kMs;  // a flood that is turned away is not to search all that is held each time
-constexpr size_t kCompactBytesPerStep = 32 * 1024;  // copied forward in one turn at most
-constexpr Time kInitialListTimeout = 300 * kMs;     // discovery answers at once, unless it is down
-constexpr Time kLifetimeTolerance = 100 * kMs;      // clients round what they measure
-constexpr Time kTransitTime = 2 * kMs;              // a message's time runs from its client's sending
-
-// The descriptors: those of the process itself, clients, and calls with their idle connections. Calls have
-// what they need, then clients, who need a third for requests, half; idle connections what is left.
-constexpr size_t kReservedDescriptors =
-    24;  // standard ones, event loop, signals, listener, journal twice, watches, notices
+// Age of first_due_ at which it is computed again, so that a flood of refused submissions does not search all
+// open messages each time.
+constexpr Time kFirstDueMaxAge = 100 * kMs;
+constexpr size_t kCompactBytesPerStep = 32 * 1024;  // limit of compaction in one step
+constexpr Time kInitialListTimeout = 300 * kMs;     // discovery replies at once unless it is down
+constexpr Time kLifetimeTolerance = 100 * kMs;      // clients round the lifetimes they send
+constexpr Time kTransitTime = 2 * kMs;  // from the client: a message's lifetime starts when it is sent
+
+// The descriptors of the process are shared by the process itself, clients, and calls with their idle
+// connections. Calls get what they need. Clients get half, because they need a third for requests. Idle
+// connections get the rest. Reserved: standard streams, event loop, signals, listener, two journal files,
+// watches, notices.
+constexpr size_t kReservedDescriptors = 24;
 constexpr size_t kMaxProbes = 8;
 
 size_t max_calls(const Config& config) {
@@ -120,8 +123,8 @@
   });
 }
 
-// What the process before knew of hosts and destinations. The configuration's list may be older: hosts that
-// were told to drain would be sent to again.
+// Restores what the previous process knew of hosts and destinations. The configuration's host list may be
+// older: relying on it, the relay would send to hosts that are draining.
 void Relay::load_metadata() {
   const auto metadata = journal_.metadata();
   HostList list;
@@ -169,14 +172,14 @@
   return it == classes.end() ? -1 : static_cast<int>(it - classes.begin());
 }
 
-// -1: none is named, so no quota is known for it.
+// -1: no tenant of that name is configured, so there is no quota for it.
 int Relay::tenant_of(const std::string& name) const {
   const auto& tenants = config_.settings.tenants;
   const auto it = std::find_if(tenants.begin(), tenants.end(), [&](const auto& t) { return t.name == name; });
   return it == tenants.end() ? -1 : static_cast<int>(it - tenants.begin());
 }
 
-// Only now messages are taken on or resumed: what discovery had to tell at once has been heard.
+// Accepts and resumes messages only now that discovery has sent what it has or did not reply in time.
 void Relay::open_listener() {
   if (client_server_ || stopping_since_ != 0) return;
   resume_messages();
@@ -189,7 +192,7 @@
     std::fprintf(stderr, "journal: %s\n", line.c_str());
 }
 
-// Messages from before a restart are the module's to decide on, like any other.
+// Hands the messages of the last run to the module, which decides on them like on any other.
 void Relay::resume_messages() {
   const Time now = steady_now();
   const Time wall = wall_now();
@@ -207,11 +210,13 @@
     Arrival in;
     in.id = number;
     in.message_class = class_of(message.submission.message_class);
-    if (in.message_class < 0) {  // no class of these settings: nothing is known of what it allows
+    // The settings no longer have its class, so its effect and windows are unknown.
+    if (in.message_class < 0) {
       end_message(number, Notice{message.submission.id, recovered.maybe_executed.empty(), 0});
       return;
     }
-    // Where the wall clock was stepped back meanwhile, no life is longer for it than its class allows,
+    // If the wall clock was stepped back meanwhile, the remaining lifetime is limited to what the class
+    // allows.
     const Time max_lifetime = config_.settings.classes[static_cast<size_t>(in.message_class)].give_up;
     message.due = now + std::min(recovered.due - wall, max_lifetime);
     in.due = message.due;
@@ -222,7 +227,8 @@
       const auto& [sent, zone] = recovered.maybe_executed.begin()->second;
       in.maybe_executed = true;
       in.maybe_executed_sent = now + (sent - wall);
-      // and how long ago an attempt of a time to come was made is not known: no window counts on it.
+      // Likewise, the age of an attempt dated in the future is unknown, so no idempotency window may count on
+      // it.
       if (sent > wall) in.maybe_executed_sent = std::numeric_limits<Time>::min() / 2;
       in.maybe_executed_zone = zone;
     }
@@ -231,7 +237,8 @@
   if (fleet_) fleet_->start_recovery(now);
 }
 
-// No room for it: the module has no say in that. Says when some is likely.
+// Reply to a submission for which there is no capacity, with an estimate of when there will be. Not a
+// decision of the module.
 std::string Relay::busy_reply(size_t bytes) {
   const Time now = steady_now();
   if (first_due_updated_at_ == 0 || now - first_due_updated_at_ > kFirstDueMaxAge) {
@@ -244,8 +251,8 @@
 }
 
 void Relay::submit(Submission submission, ClientServer::ReplyCallback reply) {
-  if (const auto number = numbers_by_id_.find(submission.id);
-      number != numbers_by_id_.end()) {  // sent once more
+  // A repeated submission gets the same reply as the first one.
+  if (const auto number = numbers_by_id_.find(submission.id); number != numbers_by_id_.end()) {
     const OpenMessage& message = open_messages_.at(number->second);
     if (message.accepted) return reply_accepted(message.durable_position, std::move(reply));
     pending_submissions_.push_back({number->second, std::move(reply)});
@@ -300,8 +307,8 @@
                         removed ? std::to_string(directory_.removed().at(host.id)) : "");
 }
 
-// Its connections are of no use, and a machine that takes its address over must not get them. It is known
-// until its last call has ended.
+// Closes the idle connections to a removed host, since a new machine with the same address must not get calls
+// on them. The host is erased once its last call has ended.
 void Relay::release_removed_host(const Endpoint& endpoint) {
   const ListedHost* host = directory_.find(endpoint);
   if (host == nullptr || host->member.state != HostState::kRemoved) return;
@@ -319,16 +326,17 @@
 void Relay::reload(const Config& config, std::function<void(const std::string&)> on_done) {
   if (!fleet_) {
     apply_config(config);
-    return on_done("configuration read again");
+    return on_done("configuration reloaded");
   }
-  // What is this relay's own is taken over with the fleet's word on what is not: inside a window there is
-  // none.
+  // The relay's own settings are applied together with the fleet's decision on the common ones, which are
+  // rejected inside a freeze window.
   fleet_->propose(config.common_settings, [this, config, on_done](bool done, const std::string& why) {
     if (done) {
       apply_config(config);
-      config_.source_text = config.source_text;  // a version that comes later keeps what is this relay's own
+      // Later versions of the common settings keep this relay's own ones.
+      config_.source_text = config.source_text;
     }
-    on_done(done ? "configuration read again, and known to the fleet"
+    on_done(done ? "configuration reloaded and accepted by the fleet"
                  : "configuration stays as it was: " + why);
   });
 }
@@ -338,7 +346,7 @@
     apply_config(with_common_settings(config_, text));
     return true;
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "configuration of the fleet: %s\n", error.what());
+    std::fprintf(stderr, "configuration version of the fleet rejected: %s\n", error.what());
     return false;
   }
 }
@@ -356,8 +364,8 @@
   return {member.destination, independent ? member.endpoint : Endpoint{}};
 }
 
-// The last look before a call's first byte. While its connection came up the host may have been drained, its
-// destination may have told another call to wait, or the message may be over.
+// Last check before the first byte of a call. While its connection was set up the host may have started to
+// drain, another call may have received a Retry-After for the route, or the message may have ended.
 Upstream::StartDecision Relay::may_start(const Call& call) {
   using StartDecision = Upstream::StartDecision;
   const auto it = open_messages_.find(call.id);
@@ -378,8 +386,7 @@
   return StartDecision::kLater;
 }
 
-// The same of a probe, which counts as a call: its connection may come up after its host was drained, or its
-// destination told a call to wait.
+// The same for a probe, which counts as a call.
 bool Relay::may_probe(const Endpoint& endpoint) {
   const ListedHost* host = directory_.find(endpoint);
   if (host == nullptr || !directory_.is_active(endpoint)) return false;
@@ -429,8 +436,8 @@
   set_wake_timer();
 }
 
-// A message is the relay's from the moment that its record is written; only then its client is told, and only
-// then it may be sent.
+// Replies to the submissions of this turn. A message is accepted once its journal record is written; only
+// then may its client get +OK and only then may it be sent.
 void Relay::reply_to_pending(const std::vector<Action>& actions) {
   std::map<uint64_t, std::string> rejections;
   if (!pending_submissions_.empty()) {
@@ -445,7 +452,7 @@
   }
   std::vector<PendingSubmission> pending;
   pending.swap(pending_submissions_);
-  std::map<uint64_t, std::string> replies;  // one for all who handed the same message in
+  std::map<uint64_t, std::string> replies;  // shared by all submissions of the same message
   for (const PendingSubmission& item : pending) {
     const auto [line, is_new] = replies.try_emplace(item.number, kAcceptedReply);
     const auto message = open_messages_.find(item.number);
@@ -457,7 +464,7 @@
         message->second.accepted = true;
         message->second.durable_position = journal_.written_position();
       } else {
-        line->second = busy_reply(submission.body.size());  // no room on the disk
+        line->second = busy_reply(submission.body.size());  // no space in the journal
         post_event(Withdrawn{item.number});
       }
       if (!message->second.accepted) {
@@ -478,7 +485,8 @@
   unsynced_replies_.push_back({position, std::move(reply)});
 }
 
-// One sync for all that was written meanwhile; nothing waits where the process's end is all there is to fear.
+// Group commit: one sync covers all records written meanwhile. Without group durability nothing waits for a
+// sync, as records only have to survive the end of the process.
 void Relay::sync() {
   if (!sync_thread_ || !journal_.needs_sync() || sync_failed_) return;
   boost::asio::post(*sync_thread_, [this, sync = journal_.begin_sync()] {
@@ -489,10 +497,11 @@
 
 void Relay::on_synced(const umberhoist::state::Journal::SyncRequest& sync, bool ok) {
   journal_.end_sync(sync, ok);
-  if (!ok ||
-      !sync.covers_everything) {  // in the second case the disk has no room to write anew what is in doubt
+  // Without covers_everything there is no space to rewrite the records of an earlier failed sync.
+  if (!ok || !sync.covers_everything) {
     if (!ok && !std::exchange(sync_failure_logged_, true)) {
-      std::fprintf(stderr, "journal: the disk did not take a sync: nothing is answered until it does\n");
+      std::fprintf(stderr,
+                   "journal: disk sync failed: no +OK, call or notice is sent until a retry succeeds\n");
     }
     sync_failed_ = true;
     sync_timer_.expires_after(std::chrono::microseconds(kDiskRetryDelay));
@@ -504,7 +513,7 @@
     return;
   }
   if (std::exchange(sync_failure_logged_, false))
-    std::fprintf(stderr, "journal: the disk takes syncs again\n");
+    std::fprintf(stderr, "journal: disk sync succeeded after failures\n");
   while (!unsynced_replies_.empty() && journal_.is_durable(unsynced_replies_.front().position)) {
     unsynced_replies_.front().value(kAcceptedReply);
     unsynced_replies_.pop_front();
@@ -523,7 +532,8 @@
       not_started.id = send->id;
       not_started.endpoint = send->endpoint;
       not_started.outcome = Outcome::kNotStarted;
-      not_started.final = message == open_messages_.end();  // given back in this very turn for want of room
+      // Ended earlier in this turn, as the journal had no space for it.
+      not_started.final = message == open_messages_.end();
       if (!not_started.final) not_started.attempt = message->second.attempts++;
       return post_event(std::move(not_started));
     }
@@ -557,7 +567,7 @@
   } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
     upstream_.close_idle(close->endpoint);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-    wake_at_ = timer->at;  // only the newest counts: it is set anew in each step that needs one
+    wake_at_ = timer->at;  // only the latest one counts: each step that needs a timer sets it again
   } else if (const auto* state = std::get_if<SaveDestinationState>(&action)) {
     save_destination_state(state->state);
     if (fleet_) fleet_->on_destination_state(state->state);
@@ -566,7 +576,7 @@
   }
 }
 
-// The message is over; with a notice, that is still owed.
+// Ends a message. With a notice, the notice is recorded first and then sent.
 void Relay::end_message(uint64_t number, std::optional<Notice> notice) {
   const auto message = open_messages_.find(number);
   if (fleet_) fleet_->on_message_ended(number);
@@ -588,8 +598,8 @@
   }
 }
 
-// A notice is sent once it is recorded: its client may come again on it, and a restart must not send what it
-// ended.
+// A notice is sent only after it is recorded: on receiving it the client may submit the message again, and a
+// restart must not send the message that the notice ended.
 void Relay::record_notices() {
   while (!unrecorded_notices_.empty() && journal_.record_notice(unrecorded_notices_.front())) {
     unsynced_notices_.push_back({journal_.written_position(), std::move(unrecorded_notices_.front())});
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -1,5 +1,5 @@
-// The relay: the only owner of the decision module. Collects what happens, lets the module decide once a turn
-// of the event loop, and carries its decisions out.
+// The relay: the only owner of the decision module. Collects events, lets the module decide once per turn of
+// the event loop, and executes the resulting actions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,19 +27,20 @@
 
 class Relay {
  public:
-  // Reads the journal, hears discovery if it answers, then opens the listener and says so. Throws
-  // std::exception where it cannot serve. `files`: in place of the folder that the configuration names.
-  // `fleet`: none, and the relay is by itself.
+  // Reads the journal, waits a short time for a host list from discovery, then opens the listener and calls
+  // `on_listening`. Throws std::exception if it cannot start. `files` replaces the folder that the
+  // configuration names. `fleet` may be null: the relay then works alone.
   Relay(boost::asio::io_context& io, const Config& config,
         std::function<void(const tcp::endpoint&)> on_listening,
         std::unique_ptr<umberhoist::state::Files> files = nullptr,
         std::unique_ptr<umberhoist::fleet::Fleet> fleet = nullptr);
 
-  // Takes the new configuration's discovery over; the rest of it holds from the next start on. In a fleet it
-  // is first proposed to all, who run it, or none does; `on_done` says what came of it.
+  // Applies the discovery address of a new configuration; its other settings take effect at the next start.
+  // In a fleet the configuration is first proposed to all relays, which all apply it or none does. `on_done`
+  // gets the result as a log line.
   void reload(const Config& config, std::function<void(const std::string& line)> on_done);
 
-  // Planned end: serves a little longer, lets calls finish, and stops the event loop.
+  // Graceful shutdown: accepts requests a little longer, lets calls finish, and stops the event loop.
   void stop();
 
  private:
@@ -47,17 +48,17 @@
     Submission submission;
     Time due = 0;
     int attempts = 0;
-    bool accepted = false;  // its record is written
-    uint64_t durable_position =
-        0;  // the journal's position that its acceptance, and its last attempt, are safe at
-    int recorded_attempt = -1;  // the last attempt with a record
+    bool accepted = false;  // its journal record is written
+    // Journal position up to which its acceptance and its last attempt have to be durable.
+    uint64_t durable_position = 0;
+    int recorded_attempt = -1;  // the last attempt with a journal record; -1: none
   };
   template <class Value>
-  struct AwaitingSync {  // waits until the journal is durable up to its position
+  struct AwaitingSync {  // a value to use once the journal is durable up to `position`
     uint64_t position = 0;
     Value value;
   };
-  struct PendingSubmission {  // handed in during this turn, not yet decided on
+  struct PendingSubmission {  // submitted in this turn of the event loop, not decided on yet
     uint64_t number = 0;
     ClientServer::ReplyCallback reply;
   };
@@ -106,32 +107,33 @@
   std::unordered_map<uint64_t, OpenMessage> open_messages_;
   std::unordered_map<std::string, uint64_t> numbers_by_id_;
   umberhoist::admission::CapacityForecast capacity_forecast_;
-  Time first_due_ = 0;                                       // of those held, as it was
-  Time first_due_updated_at_ = 0;                            // at this time
-  std::map<std::pair<int, Endpoint>, Time> route_retry_at_;  // told waits: until when nothing goes there
-  std::map<Endpoint, int> in_flight_;                        // calls and probes out
-  Time wake_at_ = 0;        // when the module wants to be asked again; 0: never
-  Time timer_set_for_ = 0;  // and for when the timer is set
+  // The earliest due time of the open messages, as of first_due_updated_at_.
+  Time first_due_ = 0;
+  Time first_due_updated_at_ = 0;
+  std::map<std::pair<int, Endpoint>, Time> route_retry_at_;  // until when Retry-After forbids calls
+  std::map<Endpoint, int> in_flight_;                        // calls and probes in flight
+  Time wake_at_ = 0;        // when the module asked to be called again; 0: never
+  Time timer_set_for_ = 0;  // expiry of wake_timer_; 0: not set
   boost::asio::steady_timer wake_timer_;
   boost::asio::steady_timer stop_timer_;
   Time stopping_since_ = 0;                // 0: not stopping
-  bool clients_shut_down_ = false;         // clients were let go
-  std::deque<Notice> unrecorded_notices_;  // not sent: they could not be written yet
+  bool clients_shut_down_ = false;         // client connections are being closed
+  std::deque<Notice> unrecorded_notices_;  // not sent yet, as their journal records could not be written
   boost::asio::steady_timer notice_record_timer_;
   std::deque<AwaitingSync<ClientServer::ReplyCallback>> unsynced_replies_;
   std::deque<AwaitingSync<Notice>> unsynced_notices_;
-  bool sync_failed_ = false;          // and is tried again soon
-  bool sync_failure_logged_ = false;  // in the log, once for each time that the disk fails
+  bool sync_failed_ = false;          // and is retried after kDiskRetryDelay
+  bool sync_failure_logged_ = false;  // logged once for each series of failures
   boost::asio::steady_timer sync_timer_;
   NoticeSender notice_sender_;
   Upstream upstream_;
   DiscoveryWatch watch_;
   std::function<void(const tcp::endpoint&)> on_listening_;
   boost::asio::steady_timer open_timer_;
-  std::optional<ClientServer> client_server_;  // once what was taken on before is resumed
+  std::optional<ClientServer> client_server_;  // created once the messages of the last run are resumed
   std::optional<FleetAdapter> fleet_;
-  std::optional<boost::asio::thread_pool>
-      sync_thread_;  // with group durability; the last to come, the first to go
+  // Only with group durability. Last member, so that it is destroyed first.
+  std::optional<boost::asio::thread_pool> sync_thread_;
 };
 
 }  // namespace firspool::relay
