--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -17,17 +17,19 @@
 using Error = boost::system::error_code;
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kIdleMargin = kSecond;  // idle connections go so long before the host closes them
+constexpr Time kIdleCloseMargin = kSecond;  // idle connections go so long before the host closes them
 constexpr Time kProbeTimeout = 1500 * 1000;
-constexpr size_t kMostBody = 64 * 1024;
-constexpr size_t kMostPerHost = 64;  // idle
-
-constexpr size_t kMostAnswer = 2 * kMostBody;  // all that is read of one, heads and 1xx answers included
-constexpr size_t kReadAtOnce = 4 * 1024;
-constexpr Time kRest = 300 * 1000;  // an answer that has begun is whole within this time, or it never will be
-constexpr Time kSettle = 2 * 1000;  // what a host sends behind an answer comes within this time
-constexpr double kMostReported = 1e9;
-constexpr double kMostWait = 24 * 3600;  // seconds
+constexpr size_t kMaxBodyBytes = 64 * 1024;
+constexpr size_t kMaxIdlePerHost = 64;  // idle
+
+constexpr size_t kMaxReplyBytes =
+    2 * kMaxBodyBytes;  // all that is read of one, heads and 1xx answers included
+constexpr size_t kReadBytes = 4 * 1024;
+constexpr Time kReplyCompletionTimeout =
+    300 * 1000;  // an answer that has begun is whole within this time, or it never will be
+constexpr Time kSettleTime = 2 * 1000;  // what a host sends behind an answer comes within this time
+constexpr double kMaxReportedValue = 1e9;
+constexpr double kMaxRetryAfterSeconds = 24 * 3600;  // seconds
 constexpr std::string_view kVersion = "HTTP/1.";
 
 std::chrono::steady_clock::time_point at_time(Time t) {
@@ -35,7 +37,7 @@
 }
 
 // A status line with 200, also where nothing behind it can be read.
-bool says_ok(std::string_view head) {
+bool has_status_200(std::string_view head) {
   constexpr std::string_view kOk = " 200";
   const size_t code = kVersion.size() + 1;
   return head.starts_with(kVersion) && head.size() > code + kOk.size() &&
@@ -44,13 +46,13 @@
 }
 
 // A closed or chattering peer shows in what can be read from a connection that should be silent.
-bool usable(tcp::socket& socket) {
+bool is_usable(tcp::socket& socket) {
   char byte = 0;
   const ssize_t got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-std::optional<double> decimal(std::string_view text) {
+std::optional<double> parse_decimal(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value) || value < 0)
@@ -60,8 +62,8 @@
 
 // A wait that is no number is none. It binds also messages that are yet to come, so it is not cut short by
 // the lives of those that are here; its bound guards the arithmetic alone.
-Time parse_wait(std::string_view text) {
-  return static_cast<Time>(std::ceil(std::min(decimal(text).value_or(0), kMostWait) * 1e6));
+Time parse_retry_after(std::string_view text) {
+  return static_cast<Time>(std::ceil(std::min(parse_decimal(text).value_or(0), kMaxRetryAfterSeconds) * 1e6));
 }
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
@@ -77,8 +79,8 @@
     if (equals == std::string_view::npos) return {};
     const auto field = std::find(fields.begin(), fields.end(), item.substr(0, equals));
     if (field == fields.end()) continue;
-    const auto value = decimal(item.substr(equals + 1));
-    if (!value || *value > kMostReported) return {};
+    const auto value = parse_decimal(item.substr(equals + 1));
+    if (!value || *value > kMaxReportedValue) return {};
     out[static_cast<size_t>(field - fields.begin())] = static_cast<float>(*value);
   }
   return out;
@@ -96,48 +98,48 @@
 class Upstream::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(Upstream& owner, Call call, bool probe)
-      : owner_(&owner), call_(std::move(call)), probe_(probe), socket_(owner.io_), timer_(owner.io_) {}
+      : owner_(&owner), call_(std::move(call)), is_probe_(probe), socket_(owner.io_), timer_(owner.io_) {}
 
-  std::tuple<bool, uint64_t, int> name() const { return {probe_, call_.id, call_.attempt}; }
+  std::tuple<bool, uint64_t, int> key() const { return {is_probe_, call_.id, call_.attempt}; }
 
   void start() {
-    begun_ = steady_now();
-    deadline_ = begun_ + call_.timeout;
-    if (auto kept = owner_->take(call_.endpoint, call_.address)) {
-      socket_ = std::move(kept->socket);
-      return settle(kept->since + kSettle);
+    started_at_ = steady_now();
+    deadline_ = started_at_ + call_.timeout;
+    if (auto idle = owner_->take_idle(call_.endpoint, call_.address)) {
+      socket_ = std::move(idle->socket);
+      return wait_until_settled(idle->since + kSettleTime);
     }
     connect();
   }
 
-  void cancel() { give_up(Outcome::kCancelled); }
+  void cancel() { abort(Outcome::kCancelled); }
 
-  void orphan() {
-    over_ = true;
+  void detach() {
+    finished_ = true;
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
     timer_.cancel();
   }
 
-  void proceed() {
-    if (!over_) write();
+  void resume() {
+    if (!finished_) write();
   }
 
  private:
   // A second answer right behind the first would be taken for this call's: it shows before the call is
   // written.
-  void settle(Time ready) {
-    if (steady_now() >= ready) return reuse();
+  void wait_until_settled(Time ready) {
+    if (steady_now() >= ready) return reuse_connection();
     timer_.expires_at(at_time(ready));
     timer_.async_wait([self = shared_from_this()](const Error& error) {
-      if (!error && !self->over_) self->reuse();
+      if (!error && !self->finished_) self->reuse_connection();
     });
   }
 
-  void reuse() {
-    if (usable(socket_)) {
-      arm(deadline_);
+  void reuse_connection() {
+    if (is_usable(socket_)) {
+      set_timer(deadline_);
       return write();
     }
     Error ignored;
@@ -146,14 +148,14 @@
   }
 
   void connect() {
-    fresh_ = true;
-    arm(std::min(deadline_, begun_ + owner_->limits_.connect_timeout));
+    new_connection_ = true;
+    set_timer(std::min(deadline_, started_at_ + owner_->limits_.connect_timeout));
     socket_.async_connect(call_.address, [self = shared_from_this()](const Error& error) {
-      if (self->over_) return;
+      if (self->finished_) return;
       if (error) return self->finish(Outcome::kConnectFailed);
       Error ignored;
       self->socket_.set_option(tcp::no_delay(true), ignored);
-      self->arm(self->deadline_);
+      self->set_timer(self->deadline_);
       self->write();
     });
   }
@@ -161,20 +163,20 @@
   // An expiry that stood in the loop's queue when the timer was set anew still arrives, and is not the new
   // one's: a connection that comes up in the very turn in which its time ends has the call's time from then
   // on.
-  void arm(Time at) {
+  void set_timer(Time at) {
     timer_.expires_at(at_time(at));
-    timer_.async_wait([self = shared_from_this(), armed = ++armed_](const Error& error) {
-      if (!error && !self->over_ && armed == self->armed_) self->give_up(Outcome::kTimeout);
+    timer_.async_wait([self = shared_from_this(), generation = ++timer_generation_](const Error& error) {
+      if (!error && !self->finished_ && generation == self->timer_generation_) self->abort(Outcome::kTimeout);
     });
   }
 
   // What was never wholly written cannot have run. Whether it was is known only once the write has ended: one
   // that is done and not yet reported, taken for none, would let an unsafe call go twice.
-  void give_up(Outcome outcome) {
-    if (over_ || given_up_) return;
-    if (heard_) return spoilt();
-    if (sent_ != Sent::kPart) return finish(unheard(outcome));
-    given_up_ = outcome;
+  void abort(Outcome outcome) {
+    if (finished_ || abort_outcome_) return;
+    if (reply_started_) return finish_malformed();
+    if (request_state_ != RequestState::kPartlySent) return finish(outcome_without_reply(outcome));
+    abort_outcome_ = outcome;
     // Not cancelled: between two parts of a long write there is nothing to cancel, and the next one would
     // wait for its host for ever.
     Error ignored;
@@ -183,23 +185,23 @@
 
   void write() {
     // The connection took its time: what was told meanwhile counts.
-    const StartDecision start = !probe_                              ? owner_->may_start_(call_)
+    const StartDecision start = !is_probe_                           ? owner_->may_start_(call_)
                                 : owner_->may_probe_(call_.endpoint) ? StartDecision::kYes
                                                                      : StartDecision::kNo;
     if (start == StartDecision::kLater) {
-      owner_->later_.push_back(shared_from_this());
+      owner_->deferred_.push_back(shared_from_this());
       return;
     }
     if (start == StartDecision::kNo) {
-      idle_ = true;
+      reusable_ = true;
       return finish(Outcome::kNotStarted);
     }
-    sent_ = Sent::kPart;
+    request_state_ = RequestState::kPartlySent;
     request_.version(11);
-    request_.method(probe_ ? http::verb::get : http::verb::post);
-    request_.target(probe_ ? "/-/healthy" : "/events");
+    request_.method(is_probe_ ? http::verb::get : http::verb::post);
+    request_.target(is_probe_ ? "/-/healthy" : "/events");
     request_.set(http::field::host, call_.address.address().to_string());
-    if (!probe_) {
+    if (!is_probe_) {
       request_.set("X-Call-Id", call_.call_id);
       if (!call_.key.empty()) request_.set("Idempotency-Key", call_.key);
       const Time left = std::max<Time>(1, (deadline_ - steady_now()) / 1000);
@@ -208,92 +210,96 @@
       request_.prepare_payload();
     }
     http::async_write(socket_, request_, [self = shared_from_this()](const Error& error, size_t) {
-      if (self->over_) return;
-      self->sent_ = error ? Sent::kBroken : Sent::kWhole;
-      if (self->given_up_) return self->finish(self->unheard(*self->given_up_));
+      if (self->finished_) return;
+      self->request_state_ = error ? RequestState::kFailed : RequestState::kSent;
+      if (self->abort_outcome_) return self->finish(self->outcome_without_reply(*self->abort_outcome_));
     });
     read();
   }
 
   // What became of a call to which nothing was answered.
-  Outcome unheard(Outcome whole) const { return sent_ == Sent::kWhole ? whole : Outcome::kConnectFailed; }
+  Outcome outcome_without_reply(Outcome if_sent) const {
+    return request_state_ == RequestState::kSent ? if_sent : Outcome::kConnectFailed;
+  }
 
   void read() {
-    socket_.async_read_some(buffer_.prepare(kReadAtOnce),
+    socket_.async_read_some(buffer_.prepare(kReadBytes),
                             [self = shared_from_this()](const Error& error, size_t count) {
-                              if (self->over_) return;
+                              if (self->finished_) return;
                               self->buffer_.commit(count);
-                              self->read_ += count;
-                              if (count > 0) return self->heard();
-                              self->ended(error);
+                              self->bytes_read_ += count;
+                              if (count > 0) return self->on_reply_bytes();
+                              self->on_connection_ended(error);
                             });
   }
 
   // From its first byte on an answer has little time to become whole: a host that spoils it may leave the
   // connection open, or go on for ever.
-  void heard() {
-    if (!heard_) {
-      heard_ = true;
-      arm(std::min(deadline_, steady_now() + kRest));
+  void on_reply_bytes() {
+    if (!reply_started_) {
+      reply_started_ = true;
+      set_timer(std::min(deadline_, steady_now() + kReplyCompletionTimeout));
     }
-    if (!parse() || read_ > kMostAnswer) return spoilt();
-    if (parser_ && parser_->is_done()) return answered();
+    if (!parse_reply() || bytes_read_ > kMaxReplyBytes) return finish_malformed();
+    if (parser_ && parser_->is_done()) return on_reply_complete();
     read();
   }
 
   // False: it is no answer. The buffer holds a first line until the parser takes it.
-  bool parse() {
+  bool parse_reply() {
     while (true) {
       if (!parser_) {
         parser_.emplace();
         parser_->eager(true);
-        parser_->body_limit(kMostBody);
+        parser_->body_limit(kMaxBodyBytes);
       }
-      if (!line_) {
+      if (!status_line_parsed_) {
         const std::string_view head(static_cast<const char*>(buffer_.data().data()), buffer_.size());
-        delivered_ = says_ok(head);
+        status_ok_ = has_status_200(head);
         if (!kVersion.starts_with(head.substr(0, kVersion.size()))) return false;
       }
       Error error;
-      const size_t taken = parser_->put(buffer_.data(), error);
-      line_ = line_ || taken > 0;
-      buffer_.consume(taken);
+      const size_t consumed = parser_->put(buffer_.data(), error);
+      status_line_parsed_ = status_line_parsed_ || consumed > 0;
+      buffer_.consume(consumed);
       if (error && error != http::error::need_more) return false;
       if (!parser_->is_done() || parser_->get().result_int() >= 200) return true;
       parser_.reset();  // 1xx: the answer itself follows
-      line_ = false;
+      status_line_parsed_ = false;
       if (buffer_.size() == 0) return true;
     }
   }
 
   // The host ended the connection, which may be how it marks an answer's end. A request that was wholly
   // written is known to be: the end of its write stands in the loop's queue before this.
-  void ended(const Error& error) {
-    if (given_up_) return;  // the read was cut off with the write, which decides
-    if (!heard_) return finish(unheard(Outcome::kReset));
-    Error cut;
+  void on_connection_ended(const Error& error) {
+    if (abort_outcome_) return;  // the read was cut off with the write, which decides
+    if (!reply_started_) return finish(outcome_without_reply(Outcome::kReset));
+    Error incomplete;
     if (error == boost::asio::error::eof && parser_ && parser_->is_header_done()) {
-      parser_->put_eof(cut);
-      if (!cut && parser_->is_done()) return answered();
+      parser_->put_eof(incomplete);
+      if (!incomplete && parser_->is_done()) return on_reply_complete();
     }
-    spoilt();
+    finish_malformed();
   }
 
   // The answer will never be whole. The call may have run whatever status it shows, and has if its first line
   // says so. A wait that its head tells has been told all the same.
-  void spoilt() {
-    final_ = delivered_;
-    if (parser_ && parser_->is_header_done() && parser_->get().result_int() == 429) told_to_wait();
-    finish(delivered_ ? Outcome::kOk : Outcome::kMalformed);
+  void finish_malformed() {
+    final_ = status_ok_;
+    if (parser_ && parser_->is_header_done() && parser_->get().result_int() == 429) read_retry_after();
+    finish(status_ok_ ? Outcome::kOk : Outcome::kMalformed);
   }
 
-  void told_to_wait() { wait_ = parse_wait(view(parser_->get()[http::field::retry_after])); }
+  void read_retry_after() {
+    retry_after_ = parse_retry_after(view(parser_->get()[http::field::retry_after]));
+  }
 
-  void answered() {
-    const auto& answer = parser_->get();
-    idle_ = parser_->keep_alive() && buffer_.size() == 0 && sent_ == Sent::kWhole;
-    report_ = parse_report(view(answer["X-Load-Report"]), owner_->report_fields_);
-    switch (answer.result_int()) {
+  void on_reply_complete() {
+    const auto& reply = parser_->get();
+    reusable_ = parser_->keep_alive() && buffer_.size() == 0 && request_state_ == RequestState::kSent;
+    load_report_ = parse_report(view(reply["X-Load-Report"]), owner_->report_fields_);
+    switch (reply.result_int()) {
       case 200:
         final_ = true;
         return finish(Outcome::kOk);
@@ -301,13 +307,13 @@
         final_ = true;
         return finish(Outcome::kNotStarted);
       case 429:
-        told_to_wait();
+        read_retry_after();
         return finish(Outcome::kRefused);
       case 503:
-        if (view(answer["X-Egress-Full"]) == "1") return finish(Outcome::kNotStarted);
+        if (view(reply["X-Egress-Full"]) == "1") return finish(Outcome::kNotStarted);
         // Turned away and hung up on at once, on a new connection: the host holds all that it takes. Where it
         // is over a limit or its queue is full, the connection stays.
-        crowded_ = fresh_ && !parser_->keep_alive();
+        connection_limit_reached_ = new_connection_ && !parser_->keep_alive();
         return finish(Outcome::kRefused);
       case 504:
         return finish(Outcome::kNotStarted);
@@ -317,12 +323,12 @@
   }
 
   void finish(Outcome outcome) {
-    over_ = true;
+    finished_ = true;
     timer_.cancel();
     const auto self = shared_from_this();
-    owner_->exchanges_.erase(name());
-    if (idle_) {
-      owner_->keep(call_.endpoint, std::move(socket_));
+    owner_->exchanges_.erase(key());
+    if (reusable_) {
+      owner_->keep_idle(call_.endpoint, std::move(socket_));
     } else {
       Error ignored;
       socket_.close(ignored);
@@ -332,8 +338,10 @@
     if (outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kConnectFailed) {
       owner_->close_idle(call_.endpoint);
     }
-    const Time took = steady_now() - begun_;
-    if (probe_) return owner_->probed_({call_.endpoint, outcome == Outcome::kOk, took, std::move(report_)});
+    const Time took = steady_now() - started_at_;
+    if (is_probe_)
+      return owner_->on_probe_ended_(
+          {call_.endpoint, outcome == Outcome::kOk, took, std::move(load_report_)});
     AttemptEnded out;
     out.id = call_.id;
     out.attempt = call_.attempt;
@@ -341,62 +349,63 @@
     out.outcome = outcome;
     out.final = final_;
     out.duration = took;
-    out.retry_after = wait_;
-    out.connection_limit_reached = crowded_;
-    out.report = std::move(report_);
-    owner_->ended_(out, sent_ != Sent::kNothing);
+    out.retry_after = retry_after_;
+    out.connection_limit_reached = connection_limit_reached_;
+    out.report = std::move(load_report_);
+    owner_->on_attempt_ended_(out, request_state_ != RequestState::kNotSent);
   }
 
-  enum class Sent { kNothing, kPart, kWhole, kBroken };
+  enum class RequestState { kNotSent, kPartlySent, kSent, kFailed };
 
   Upstream* owner_;
   Call call_;
-  bool probe_;
+  bool is_probe_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
   http::request<http::string_body> request_;
-  boost::beast::flat_buffer buffer_{kMostBody};
+  boost::beast::flat_buffer buffer_{kMaxBodyBytes};
   std::optional<http::response_parser<http::string_body>> parser_;
-  Time begun_ = 0;
+  Time started_at_ = 0;
   Time deadline_ = 0;
-  uint64_t armed_ = 0;  // how often the timer was set
-  Sent sent_ = Sent::kNothing;
-  std::optional<Outcome> given_up_;  // while its write had not ended
-  bool over_ = false;
-  bool fresh_ = false;  // it began on a new connection
-  bool crowded_ = false;
-  bool idle_ = false;       // the connection may be used again
-  bool heard_ = false;      // the answer has begun
-  bool line_ = false;       // the parser has taken its first line
-  bool delivered_ = false;  // and its first line says 200
-  size_t read_ = 0;
+  uint64_t timer_generation_ = 0;  // how often the timer was set
+  RequestState request_state_ = RequestState::kNotSent;
+  std::optional<Outcome> abort_outcome_;  // while its write had not ended
+  bool finished_ = false;
+  bool new_connection_ = false;  // it began on a new connection
+  bool connection_limit_reached_ = false;
+  bool reusable_ = false;            // the connection may be used again
+  bool reply_started_ = false;       // the answer has begun
+  bool status_line_parsed_ = false;  // the parser has taken its first line
+  bool status_ok_ = false;           // and its first line says 200
+  size_t bytes_read_ = 0;
   bool final_ = false;
-  Time wait_ = 0;
-  std::vector<float> report_;
+  Time retry_after_ = 0;
+  std::vector<float> load_report_;
 };
 
 Upstream::Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-                   MayStart may_start, MayProbe may_probe, AttemptCallback ended, ProbeCallback probed)
+                   MayStart may_start, MayProbe may_probe, AttemptCallback on_attempt_ended,
+                   ProbeCallback on_probe_ended)
     : io_(io),
       limits_(limits),
       report_fields_(std::move(report_fields)),
       may_start_(std::move(may_start)),
       may_probe_(std::move(may_probe)),
-      ended_(std::move(ended)),
-      probed_(std::move(probed)),
-      sweeper_(io) {
+      on_attempt_ended_(std::move(on_attempt_ended)),
+      on_probe_ended_(std::move(on_probe_ended)),
+      sweep_timer_(io) {
   sweep();
 }
 
 Upstream::~Upstream() {
-  for (const auto& [name, exchange] : exchanges_) exchange->orphan();
+  for (const auto& [key, exchange] : exchanges_) exchange->detach();
 }
 
 void Upstream::call(Call call) { start(std::make_shared<Exchange>(*this, std::move(call), false)); }
 
 void Upstream::probe(const Endpoint& endpoint, const tcp::endpoint& address) {
   Call call;
-  call.id = ++last_probe_;
+  call.id = ++last_probe_id_;
   call.endpoint = endpoint;
   call.address = address;
   call.timeout = kProbeTimeout;
@@ -404,13 +413,13 @@
 }
 
 void Upstream::start(std::shared_ptr<Exchange> exchange) {
-  exchanges_.emplace(exchange->name(), exchange);
-  while (idle_count_ > 0 && exchanges_.size() + idle_count_ > limits_.max_connections) close_oldest();
+  exchanges_.emplace(exchange->key(), exchange);
+  while (idle_count_ > 0 && exchanges_.size() + idle_count_ > limits_.max_connections) close_oldest_idle();
   exchange->start();
 }
 
 void Upstream::retry_deferred() {
-  for (const auto& exchange : std::exchange(later_, {})) exchange->proceed();
+  for (const auto& exchange : std::exchange(deferred_, {})) exchange->resume();
 }
 
 void Upstream::cancel(uint64_t id, int attempt) {
@@ -421,53 +430,55 @@
 }
 
 void Upstream::close_idle(const Endpoint& endpoint) {
-  const auto it = idle_.find(endpoint);
-  if (it == idle_.end()) return;
+  const auto it = idle_connections_.find(endpoint);
+  if (it == idle_connections_.end()) return;
   idle_count_ -= it->second.size();
-  idle_.erase(it);
+  idle_connections_.erase(it);
 }
 
-std::optional<Upstream::Idle> Upstream::take(const Endpoint& endpoint, const tcp::endpoint& address) {
-  const auto it = idle_.find(endpoint);
-  if (it == idle_.end()) return {};
+std::optional<Upstream::IdleConnection> Upstream::take_idle(const Endpoint& endpoint,
+                                                            const tcp::endpoint& address) {
+  const auto it = idle_connections_.find(endpoint);
+  if (it == idle_connections_.end()) return {};
   while (!it->second.empty()) {
-    Idle last = std::move(it->second.back());
+    IdleConnection last = std::move(it->second.back());
     it->second.pop_back();
     --idle_count_;
-    Error gone;
-    const bool same = last.socket.remote_endpoint(gone) == address && !gone;
-    const bool young = steady_now() - last.since < limits_.idle_timeout - kIdleMargin;
-    if (same && young && usable(last.socket)) return last;
+    Error error;
+    const bool same_address = last.socket.remote_endpoint(error) == address && !error;
+    const bool recently_used = steady_now() - last.since < limits_.idle_timeout - kIdleCloseMargin;
+    if (same_address && recently_used && is_usable(last.socket)) return last;
   }
   return {};
 }
 
-void Upstream::keep(const Endpoint& endpoint, tcp::socket socket) {
-  std::vector<Idle>& list = idle_[endpoint];
-  if (list.size() >= kMostPerHost || exchanges_.size() + idle_count_ >= limits_.max_connections) return;
+void Upstream::keep_idle(const Endpoint& endpoint, tcp::socket socket) {
+  std::vector<IdleConnection>& list = idle_connections_[endpoint];
+  if (list.size() >= kMaxIdlePerHost || exchanges_.size() + idle_count_ >= limits_.max_connections) return;
   list.push_back({std::move(socket), steady_now()});
   ++idle_count_;
 }
 
 // Makes room for a call: of all idle connections the one used least recently goes.
-void Upstream::close_oldest() {
-  const auto oldest = std::min_element(idle_.begin(), idle_.end(), [](const auto& a, const auto& b) {
-    return !a.second.empty() && (b.second.empty() || a.second.front().since < b.second.front().since);
-  });
+void Upstream::close_oldest_idle() {
+  const auto oldest =
+      std::min_element(idle_connections_.begin(), idle_connections_.end(), [](const auto& a, const auto& b) {
+        return !a.second.empty() && (b.second.empty() || a.second.front().since < b.second.front().since);
+      });
   oldest->second.erase(oldest->second.begin());
   --idle_count_;
 }
 
 void Upstream::sweep() {
   const Time now = steady_now();
-  for (auto& [endpoint, list] : idle_) {
-    idle_count_ -= std::erase_if(list, [&](Idle& idle) {
-      return now - idle.since >= limits_.idle_timeout - kIdleMargin || !usable(idle.socket);
+  for (auto& [endpoint, list] : idle_connections_) {
+    idle_count_ -= std::erase_if(list, [&](IdleConnection& idle) {
+      return now - idle.since >= limits_.idle_timeout - kIdleCloseMargin || !is_usable(idle.socket);
     });
   }
-  std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
-  sweeper_.expires_after(std::chrono::milliseconds(250));
-  sweeper_.async_wait([this](const Error& error) {
+  std::erase_if(idle_connections_, [](const auto& entry) { return entry.second.empty(); });
+  sweep_timer_.expires_after(std::chrono::milliseconds(250));
+  sweep_timer_.async_wait([this](const Error& error) {
     if (!error) sweep();
   });
 }
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -38,12 +38,14 @@
   // not yet is asked for again by `retry_deferred`.
   enum class StartDecision { kYes, kNo, kLater };
   using MayStart = std::function<StartDecision(const Call&)>;
-  using MayProbe = std::function<bool(const Endpoint&)>;                         // the same of a probe
-  using AttemptCallback = std::function<void(const AttemptEnded&, bool began)>;  // began: MayStart allowed it
+  using MayProbe = std::function<bool(const Endpoint&)>;  // the same of a probe
+  using AttemptCallback =
+      std::function<void(const AttemptEnded&, bool started)>;  // began: MayStart allowed it
   using ProbeCallback = std::function<void(const ProbeEnded&)>;
 
   Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
-           MayStart may_start, MayProbe may_probe, AttemptCallback ended, ProbeCallback probed);
+           MayStart may_start, MayProbe may_probe, AttemptCallback on_attempt_ended,
+           ProbeCallback on_probe_ended);
   ~Upstream();
 
   void call(Call call);
@@ -55,15 +57,15 @@
 
  private:
   class Exchange;
-  struct Idle {
+  struct IdleConnection {
     tcp::socket socket;
     Time since = 0;
   };
 
-  std::optional<Idle> take(const Endpoint& endpoint, const tcp::endpoint& address);
-  void keep(const Endpoint& endpoint, tcp::socket socket);
+  std::optional<IdleConnection> take_idle(const Endpoint& endpoint, const tcp::endpoint& address);
+  void keep_idle(const Endpoint& endpoint, tcp::socket socket);
   void start(std::shared_ptr<Exchange> exchange);
-  void close_oldest();
+  void close_oldest_idle();
   void sweep();
 
   boost::asio::io_context& io_;
@@ -71,14 +73,14 @@
   std::vector<std::string> report_fields_;
   MayStart may_start_;
   MayProbe may_probe_;
-  AttemptCallback ended_;
-  ProbeCallback probed_;
-  boost::asio::steady_timer sweeper_;
-  uint64_t last_probe_ = 0;
+  AttemptCallback on_attempt_ended_;
+  ProbeCallback on_probe_ended_;
+  boost::asio::steady_timer sweep_timer_;
+  uint64_t last_probe_id_ = 0;
   size_t idle_count_ = 0;
-  std::map<Endpoint, std::vector<Idle>> idle_;  // the most recently used last
+  std::map<Endpoint, std::vector<IdleConnection>> idle_connections_;  // the most recently used last
   std::map<std::tuple<bool, uint64_t, int>, std::shared_ptr<Exchange>> exchanges_;
-  std::vector<std::shared_ptr<Exchange>> later_;  // that may not start yet
+  std::vector<std::shared_ptr<Exchange>> deferred_;  // that may not start yet
 };
 
 }  // namespace firspool::relay
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -18,8 +18,8 @@
 class UpstreamTest : public ::testing::Test {
  protected:
   // Makes one call and runs the loop to its end; the host's part runs beside it.
-  AttemptEnded call(const std::function<void(FakeHost&)>& part, Time timeout = 20'000'000) {
-    std::thread host([&] { part(host_); });
+  AttemptEnded call(const std::function<void(FakeHost&)>& host_part, Time timeout = 20'000'000) {
+    std::thread host([&] { host_part(host_); });
     AttemptEnded out = call_to(host_.port(), timeout);
     host.join();
     return out;
@@ -37,17 +37,16 @@
   }
 
   AttemptEnded call_to(uint16_t port, Time timeout) {
-    ended_.reset();
+    attempt_.reset();
     upstream_.call(next_call(port, timeout));
     io_.restart();
     const Time from = steady_now();
-    while (!ended_ && steady_now() - from < kDeadlineMs * Time{1000}) io_.run_one();
-    if (!ended_) ADD_FAILURE() << "the call has no end";
-    return ended_.value_or(AttemptEnded{});
+    while (!attempt_ && steady_now() - from < kDeadlineMs * Time{1000}) io_.run_one();
+    if (!attempt_) ADD_FAILURE() << "the call has no end";
+    return attempt_.value_or(AttemptEnded{});
   }
 
-  static std::function<void(FakeHost&)> answering(const std::string& status,
-                                                  const std::string& headers = "") {
+  static std::function<void(FakeHost&)> replying(const std::string& status, const std::string& headers = "") {
     return [=](FakeHost& host) {
       host.next_request();
       host.respond(status, headers);
@@ -55,17 +54,17 @@
   }
 
   // The call of a relay whose loop stands still for a while: what happens meanwhile is found in one turn.
-  AttemptEnded call_in_a_late_turn(const std::function<void(FakeHost&)>& part, Time connect_timeout) {
+  AttemptEnded call_with_delayed_loop(const std::function<void(FakeHost&)>& host_part, Time connect_timeout) {
     boost::asio::io_context io;
     std::optional<AttemptEnded> end;
-    Upstream late(
+    Upstream upstream(
         io, {connect_timeout, 10'000'000, 16}, {}, [](const Call&) { return Upstream::StartDecision::kYes; },
         [](const Endpoint&) { return true; }, [&](const AttemptEnded& out, bool) { end = out; },
         [](const ProbeEnded&) {});
-    late.call(next_call(host_.port()));  // the kernel connects at once
+    upstream.call(next_call(host_.port()));  // the kernel connects at once
     const Time until = steady_now() + connect_timeout + 5000;
     while (steady_now() < until) continue;
-    std::thread host([&] { part(host_); });
+    std::thread host([&] { host_part(host_); });
     while (!end) io.run_one();
     host.join();
     return *end;
@@ -75,9 +74,9 @@
   std::string body_ = "body";
   bool may_start_ = true;
   std::function<void()> at_start_ = [] {};
-  bool began_ = false;
-  std::optional<AttemptEnded> ended_;
-  std::optional<ProbeEnded> probed_;
+  bool started_ = false;
+  std::optional<AttemptEnded> attempt_;
+  std::optional<ProbeEnded> probe_;
   uint64_t last_ = 0;
   FakeHost host_;
   Upstream upstream_{io_,
@@ -88,42 +87,42 @@
                        return may_start_ ? Upstream::StartDecision::kYes : Upstream::StartDecision::kNo;
                      },
                      [this](const Endpoint&) { return may_start_; },
-                     [this](const AttemptEnded& end, bool began) {
-                       ended_ = end;
-                       began_ = began;
+                     [this](const AttemptEnded& end, bool started) {
+                       attempt_ = end;
+                       started_ = started;
                      },
-                     [this](const ProbeEnded& end) { probed_ = end; }};
+                     [this](const ProbeEnded& end) { probe_ = end; }};
 };
 
 // A full table of connections: turned away and hung up on, on a new connection. On one that was in use it is
 // the host that leaves, and where the connection stays it is over a limit.
 TEST_F(UpstreamTest, TellsAFullTableFromALimit) {
-  const auto hang_up = [](FakeHost& host) {
+  const auto refuse_and_close = [](FakeHost& host) {
     host.next_request();
     host.respond("503", "Connection: close\r\n");
     host.close();
   };
-  const AttemptEnded crowded = call(hang_up);
-  EXPECT_EQ(crowded.outcome, Outcome::kRefused);
-  EXPECT_TRUE(crowded.connection_limit_reached);
-  EXPECT_FALSE(call(answering("503")).connection_limit_reached);  // on a new one that stays
-  EXPECT_FALSE(call(hang_up).connection_limit_reached);           // on that
+  const AttemptEnded limit_reached = call(refuse_and_close);
+  EXPECT_EQ(limit_reached.outcome, Outcome::kRefused);
+  EXPECT_TRUE(limit_reached.connection_limit_reached);
+  EXPECT_FALSE(call(replying("503")).connection_limit_reached);   // on a new one that stays
+  EXPECT_FALSE(call(refuse_and_close).connection_limit_reached);  // on that
   EXPECT_EQ(host_.connections(), 2);
 }
 
 TEST_F(UpstreamTest, ReadsEachAnswer) {
-  const AttemptEnded ok = call(answering("200", "X-Load-Report: x0=0.5,x1=25\r\n"));
+  const AttemptEnded ok = call(replying("200", "X-Load-Report: x0=0.5,x1=25\r\n"));
   EXPECT_EQ(ok.outcome, Outcome::kOk);
   EXPECT_TRUE(ok.final);
   EXPECT_EQ(ok.report, (std::vector<float>{0.5, 25}));
-  EXPECT_EQ(call(answering("500")).outcome, Outcome::kError);
-  const AttemptEnded told = call(answering("429", "Retry-After: 1.25\r\n"));
-  EXPECT_EQ(told.outcome, Outcome::kRefused);
-  EXPECT_EQ(told.retry_after, 1'250'000);
-  EXPECT_EQ(call(answering("503")).outcome, Outcome::kRefused);
-  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, Outcome::kNotStarted);
-  EXPECT_FALSE(call(answering("504")).final);
-  const AttemptEnded over = call(answering("410"));
+  EXPECT_EQ(call(replying("500")).outcome, Outcome::kError);
+  const AttemptEnded refused = call(replying("429", "Retry-After: 1.25\r\n"));
+  EXPECT_EQ(refused.outcome, Outcome::kRefused);
+  EXPECT_EQ(refused.retry_after, 1'250'000);
+  EXPECT_EQ(call(replying("503")).outcome, Outcome::kRefused);
+  EXPECT_EQ(call(replying("503", "X-Egress-Full: 1\r\n")).outcome, Outcome::kNotStarted);
+  EXPECT_FALSE(call(replying("504")).final);
+  const AttemptEnded over = call(replying("410"));
   EXPECT_EQ(over.outcome, Outcome::kNotStarted);
   EXPECT_TRUE(over.final);
   EXPECT_EQ(host_.connections(), 1);  // all on one connection
@@ -139,23 +138,23 @@
 
 TEST_F(UpstreamTest, SilenceTimesOutAndEndsTheConnection) {
   EXPECT_EQ(call([](FakeHost& host) { host.next_request(); }, 200'000).outcome, Outcome::kTimeout);
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
 
 TEST_F(UpstreamTest, ARefusedConnectionNeverRan) {
-  testing::Socket gone = testing::Socket::listen();
-  const uint16_t port = gone.port();
-  gone.close();
+  testing::Socket listener = testing::Socket::listen();
+  const uint16_t port = listener.port();
+  listener.close();
   EXPECT_EQ(call_to(port, 1'000'000).outcome, Outcome::kConnectFailed);
-  EXPECT_FALSE(began_);
+  EXPECT_FALSE(started_);
 }
 
 // A relay short of processor time finds in one turn that the connection is up and that its time is over. The
 // request goes out, so what comes of it counts: "could not connect" would let an unsafe message go twice.
 TEST_F(UpstreamTest, AConnectionThatComesUpInTheTurnInWhichItsTimeEndsIsUsed) {
-  EXPECT_EQ(call_in_a_late_turn(answering("200"), 20'000).outcome, Outcome::kOk);
-  EXPECT_EQ(call_in_a_late_turn(
+  EXPECT_EQ(call_with_delayed_loop(replying("200"), 20'000).outcome, Outcome::kOk);
+  EXPECT_EQ(call_with_delayed_loop(
                 [](FakeHost& host) {
                   host.next_request();
                   host.reset();
@@ -197,7 +196,7 @@
   });
   EXPECT_EQ(end.outcome, Outcome::kReset);
   EXPECT_GE(end.duration, 1'900'000);
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
 
@@ -206,21 +205,21 @@
 TEST_F(UpstreamTest, AnAnswerThatComesBeforeTheRequestIsWhollyWrittenCounts) {
   host_.limit_receive_buffer();
   body_.assign(16 * 1024 * 1024, 'x');  // more than the system holds back for a connection
-  const AttemptEnded told = call([](FakeHost& host) {
+  const AttemptEnded refused = call([](FakeHost& host) {
     host.read_head();
     host.respond("429", "Retry-After: 1.5\r\n");
     EXPECT_TRUE(host.drained_until_closed());
   });
-  EXPECT_EQ(told.outcome, Outcome::kRefused);
-  EXPECT_EQ(told.retry_after, 1'500'000);
-  EXPECT_TRUE(began_);
-  const AttemptEnded crowded = call([](FakeHost& host) {
+  EXPECT_EQ(refused.outcome, Outcome::kRefused);
+  EXPECT_EQ(refused.retry_after, 1'500'000);
+  EXPECT_TRUE(started_);
+  const AttemptEnded limit_reached = call([](FakeHost& host) {
     host.read_head();
     host.respond("503", "Connection: close\r\n");
     host.close();  // over what it did not read: a reset follows the answer
   });
-  EXPECT_EQ(crowded.outcome, Outcome::kRefused);
-  EXPECT_TRUE(crowded.connection_limit_reached);
+  EXPECT_EQ(limit_reached.outcome, Outcome::kRefused);
+  EXPECT_TRUE(limit_reached.connection_limit_reached);
   const AttemptEnded delivered = call([](FakeHost& host) {
     host.read_head();
     host.respond("200");
@@ -248,7 +247,7 @@
   EXPECT_EQ(outcome([this](FakeHost&) { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); }),
             Outcome::kConnectFailed);
   EXPECT_EQ(outcome([](FakeHost&) {}, 200'000), Outcome::kConnectFailed);
-  EXPECT_TRUE(began_);
+  EXPECT_TRUE(started_);
 }
 
 // Given up when a part of its request is written and that is not reported yet, with a host that reads no
@@ -258,14 +257,14 @@
   body_.assign(16 * 1024 * 1024, 'x');
   at_start_ = [this] { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); };
   EXPECT_EQ(call([](FakeHost& host) { host.read_head(); }).outcome, Outcome::kConnectFailed);
-  EXPECT_TRUE(began_);
+  EXPECT_TRUE(started_);
 }
 
 // Fills a listener's queue, so that the next connection comes up only once that is emptied: the system tries
 // again after a second.
-class FullQueue {
+class FullBacklog {
  public:
-  FullQueue() {
+  FullBacklog() {
     if (::listen(listener.fd(), 0) != 0) throw std::runtime_error("the queue stays as it was");
     first_ = testing::Socket::connect(listener.port());
   }
@@ -276,20 +275,20 @@
 };
 
 TEST_F(UpstreamTest, AConnectionThatComesUpLateIsUsed) {
-  FullQueue queue;
+  FullBacklog queue;
   boost::asio::io_context io;
   std::optional<AttemptEnded> end;
-  Upstream patient(
+  Upstream upstream(
       io, {10'000'000, 10'000'000, 16}, {}, [](const Call&) { return Upstream::StartDecision::kYes; },
       [](const Endpoint&) { return true; }, [&](const AttemptEnded& out, bool) { end = out; },
       [](const ProbeEnded&) {});
-  patient.call(next_call(queue.listener.port()));
+  upstream.call(next_call(queue.listener.port()));
   while (io.poll() > 0) continue;
   std::thread host([&] {
     const testing::Socket other = queue.listener.accept();
-    testing::Socket late = queue.listener.accept();
-    EXPECT_TRUE(testing::read_request(late).has_value());
-    EXPECT_TRUE(late.send("HTTP/1.1 200 x\r\nContent-Length: 0\r\n\r\n"));
+    testing::Socket connection = queue.listener.accept();
+    EXPECT_TRUE(testing::read_request(connection).has_value());
+    EXPECT_TRUE(connection.send("HTTP/1.1 200 x\r\nContent-Length: 0\r\n\r\n"));
   });
   while (!end) io.run_one();
   host.join();
@@ -299,11 +298,11 @@
 
 // Nothing of it is ever written, also where the connection comes up after all.
 TEST_F(UpstreamTest, ACallThatIsCancelledWhileItConnectsNeverRan) {
-  FullQueue queue;
+  FullBacklog queue;
   boost::asio::post(io_, [this] { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); });
   EXPECT_EQ(call_to(queue.listener.port(), 20'000'000).outcome, Outcome::kConnectFailed);
-  EXPECT_FALSE(began_);
-  EXPECT_LT(ended_->duration, 900'000) << "its time to connect ended it";
+  EXPECT_FALSE(started_);
+  EXPECT_LT(attempt_->duration, 900'000) << "its time to connect ended it";
 }
 
 // While its record is being synced a call has written nothing: given up then, it goes nowhere afterwards.
@@ -311,29 +310,29 @@
   const testing::Socket listener = testing::Socket::listen();
   boost::asio::io_context io;
   std::optional<AttemptEnded> end;
-  bool began = true;
-  int asked = 0;
-  Upstream syncing(
+  bool started = true;
+  int start_requests = 0;
+  Upstream upstream(
       io, {1'000'000, 10'000'000, 16}, {},
       [&](const Call&) {
-        ++asked;
+        ++start_requests;
         return Upstream::StartDecision::kLater;
       },
       [](const Endpoint&) { return true; },
-      [&](const AttemptEnded& out, bool with_record) {
+      [&](const AttemptEnded& out, bool has_started) {
         end = out;
-        began = with_record;
+        started = has_started;
       },
       [](const ProbeEnded&) {});
-  syncing.call(next_call(listener.port()));
-  while (asked == 0) io.run_one();
-  syncing.cancel(last_, 0);
+  upstream.call(next_call(listener.port()));
+  while (start_requests == 0) io.run_one();
+  upstream.cancel(last_, 0);
   ASSERT_TRUE(end);
   EXPECT_EQ(end->outcome, Outcome::kConnectFailed);
-  EXPECT_FALSE(began);
-  syncing.retry_deferred();
+  EXPECT_FALSE(started);
+  upstream.retry_deferred();
   io.poll();
-  EXPECT_EQ(asked, 1);
+  EXPECT_EQ(start_requests, 1);
   testing::Socket connection = listener.accept();
   EXPECT_TRUE(connection.closed_by_peer()) << "something was written";
 }
@@ -342,24 +341,24 @@
 TEST_F(UpstreamTest, LooksOnceMoreBeforeTheFirstByte) {
   may_start_ = false;
   EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, Outcome::kNotStarted);
-  EXPECT_FALSE(began_);
+  EXPECT_FALSE(started_);
   may_start_ = true;
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 1);  // the connection stayed, and no byte was written to it before
 }
 
 // A probe counts as a call: its connection may come up after the host was drained or told to wait.
 TEST_F(UpstreamTest, AProbeLooksOnceMoreBeforeItsFirstByteToo) {
   const auto probe = [this] {
-    probed_.reset();
+    probe_.reset();
     upstream_.probe({1, 0}, {boost::asio::ip::address_v4::loopback(), host_.port()});
-    while (!probed_) io_.run_one();
-    return probed_->ok;
+    while (!probe_) io_.run_one();
+    return probe_->ok;
   };
   may_start_ = false;
   EXPECT_FALSE(probe());
   may_start_ = true;
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);  // on the same connection, with nothing before it
+  EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);  // on the same connection, with nothing before it
   std::thread host([this] {
     EXPECT_EQ(host_.next_request().request_line, "GET /-/healthy HTTP/1.1");
     host_.respond("200");
@@ -377,7 +376,7 @@
               host.close();
             }).outcome,
             Outcome::kOk);
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 2);
 }
 
@@ -385,7 +384,7 @@
 // for a refusal it would let an unsafe message go twice. The host leaves the connection open, so it is
 // settled long before the time-out, and the connection is not used again.
 TEST_F(UpstreamTest, ASpoiltAnswerMayHaveRun) {
-  int made = 0;
+  int connections = 0;
   for (const std::string& bytes :
        {std::string("\x01\x02noise with no end"), std::string("HTTP/1.1 2x0 what\r\n\r\n"),
         std::string("HTTP/1.1 503 x\r\nContent-Le"),
@@ -400,7 +399,7 @@
     });
     EXPECT_EQ(end.outcome, Outcome::kMalformed) << bytes.substr(0, 60);
     EXPECT_FALSE(end.final);
-    EXPECT_EQ(host_.connections(), ++made);
+    EXPECT_EQ(host_.connections(), ++connections);
   }
 }
 
@@ -408,17 +407,20 @@
 // on.
 TEST_F(UpstreamTest, AnAnswerThatBreaksOffAfterAnyByteMayHaveRun) {
   for (const std::string status : {"429 x", "503 x", "200 x"}) {
-    const std::string whole = "HTTP/1.1 " + status + "\r\nRetry-After: 1.5\r\nContent-Length: 4\r\n\r\nbody";
-    const size_t head = whole.find("body");
-    for (size_t cut = 0; cut < whole.size(); ++cut) {
+    const std::string reply = "HTTP/1.1 " + status + "\r\nRetry-After: 1.5\r\nContent-Length: 4\r\n\r\nbody";
+    const size_t head = reply.find("body");
+    for (size_t cut = 0; cut < reply.size(); ++cut) {
       const AttemptEnded end = call([&](FakeHost& host) {
         host.next_request();
-        if (cut > 0) host.send_raw(whole.substr(0, cut));
+        if (cut > 0) host.send_raw(reply.substr(0, cut));
         host.close();
       });
-      const bool ran = status.starts_with("200") && cut > std::string("HTTP/1.1 200").size();
-      EXPECT_EQ(end.outcome, cut == 0 ? Outcome::kReset : ran ? Outcome::kOk : Outcome::kMalformed) << cut;
-      EXPECT_EQ(end.final, ran) << cut;
+      const bool delivered = status.starts_with("200") && cut > std::string("HTTP/1.1 200").size();
+      EXPECT_EQ(end.outcome, cut == 0    ? Outcome::kReset
+                             : delivered ? Outcome::kOk
+                                         : Outcome::kMalformed)
+          << cut;
+      EXPECT_EQ(end.final, delivered) << cut;
       // A wait that was told counts, whatever became of the rest.
       EXPECT_EQ(end.retry_after, status.starts_with("429") && cut >= head ? 1'500'000 : 0) << cut;
     }
@@ -438,7 +440,7 @@
 // Half a line on a resting connection, in the instant in which the next call is written: no answer can be
 // told from it, and the call may have run.
 TEST_F(UpstreamTest, HalfALineAheadOfTheNextAnswerMayHaveRun) {
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
   const AttemptEnded end = call([](FakeHost& host) {
     host.next_request();
     host.send_raw("HTTP/1.1 2");
@@ -472,7 +474,7 @@
     host.respond("503");
   });
   EXPECT_EQ(end.outcome, Outcome::kRefused);
-  EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
+  EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
   EXPECT_EQ(host_.connections(), 1);
 }
 
@@ -486,35 +488,35 @@
                 host.send_raw(bytes);
               }).outcome,
               Outcome::kOk);
-    EXPECT_EQ(call(answering("500")).outcome, Outcome::kError);
+    EXPECT_EQ(call(replying("500")).outcome, Outcome::kError);
     EXPECT_EQ(host_.connections(), before + 2);
-    EXPECT_EQ(call(answering("200", "Connection: close\r\n")).outcome, Outcome::kOk);
+    EXPECT_EQ(call(replying("200", "Connection: close\r\n")).outcome, Outcome::kOk);
   }
 }
 
 // A field read as zero would pass for a limit or a load of zero.
 TEST_F(UpstreamTest, DropsAReportThatItCannotRead) {
   for (const std::string report : {"x0=0.5,x1=?", "x0=nan,x1=25", "x0=-1,x1=25", "x0", "x0=0.5 x1=25"}) {
-    EXPECT_TRUE(call(answering("200", "X-Load-Report: " + report + "\r\n")).report.empty()) << report;
+    EXPECT_TRUE(call(replying("200", "X-Load-Report: " + report + "\r\n")).report.empty()) << report;
   }
-  EXPECT_EQ(call(answering("200", "X-Load-Report: x0=0.5,x9=a,x1=2\r\n")).report,
+  EXPECT_EQ(call(replying("200", "X-Load-Report: x0=0.5,x9=a,x1=2\r\n")).report,
             (std::vector<float>{0.5, 2}));
 }
 
 TEST_F(UpstreamTest, HeedsNoWaitThatIsNoNumber) {
   for (const std::string wait : {"nan", "-5", "soon", "1.5x", "inf"}) {
-    const AttemptEnded end = call(answering("429", "Retry-After: " + wait + "\r\n"));
+    const AttemptEnded end = call(replying("429", "Retry-After: " + wait + "\r\n"));
     EXPECT_EQ(end.outcome, Outcome::kRefused);
     EXPECT_EQ(end.retry_after, 0) << wait;
   }
-  EXPECT_EQ(call(answering("429", "Retry-After: 1e30\r\n")).retry_after, 24 * Time{3600'000'000});
+  EXPECT_EQ(call(replying("429", "Retry-After: 1e30\r\n")).retry_after, 24 * Time{3600'000'000});
 }
 
 // Held to the longest life of a message, a wait of 10.8 s ended after 5 s where messages live for 5 s, and
 // what came in the meantime was sent into it.
 TEST_F(UpstreamTest, AWaitIsNotCutShort) {
-  EXPECT_EQ(call(answering("429", "Retry-After: 10.8\r\n")).retry_after, 10'800'000);
-  EXPECT_EQ(call(answering("429", "Retry-After: 3600.5\r\n")).retry_after, 3600'500'000);
+  EXPECT_EQ(call(replying("429", "Retry-After: 10.8\r\n")).retry_after, 10'800'000);
+  EXPECT_EQ(call(replying("429", "Retry-After: 3600.5\r\n")).retry_after, 3600'500'000);
 }
 
 }  // namespace
