--- a/relay/upstream.cpp
+++ b/relay/upstream.cpp
@@ -17,26 +17,27 @@
 using Error = boost::system::error_code;
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kIdleCloseMargin = kSecond;  // idle connections go so long before the host closes them
+constexpr Time kIdleCloseMargin = kSecond;  // idle connections are closed this long before the host would
 constexpr Time kProbeTimeout = 1500 * 1000;
 constexpr size_t kMaxBodyBytes = 64 * 1024;
-constexpr size_t kMaxIdlePerHost = 64;  // idle
+constexpr size_t kMaxIdlePerHost = 64;
 
-constexpr size_t kMaxReplyBytes =
-    2 * kMaxBodyBytes;  // all that is read of one, heads and 1xx answers included
+// Limit of all that is read for one reply, including headers and 1xx replies.
+constexpr size_t kMaxReplyBytes = 2 * kMaxBodyBytes;
 constexpr size_t kReadBytes = 4 * 1024;
-constexpr Time kReplyCompletionTimeout =
-    300 * 1000;  // an answer that has begun is whole within this time, or it never will be
-constexpr Time kSettleTime = 2 * 1000;  // what a host sends behind an answer comes within this time
+// From the first byte of a reply to its last. A reply that takes longer is taken for one that never ends.
+constexpr Time kReplyCompletionTimeout = 300 * 1000;
+// Surplus bytes that a host sends after a reply arrive within this time.
+constexpr Time kSettleTime = 2 * 1000;
 constexpr double kMaxReportedValue = 1e9;
-constexpr double kMaxRetryAfterSeconds = 24 * 3600;  // seconds
+constexpr double kMaxRetryAfterSeconds = 24 * 3600;
 constexpr std::string_view kVersion = "HTTP/1.";
 
 std::chrono::steady_clock::time_point at_time(Time t) {
   return std::chrono::steady_clock::time_point(std::chrono::microseconds(t));
 }
 
-// A status line with 200, also where nothing behind it can be read.
+// Whether the reply begins with a status line with 200, even if the rest is malformed.
 bool has_status_200(std::string_view head) {
   constexpr std::string_view kOk = " 200";
   const size_t code = kVersion.size() + 1;
@@ -45,7 +46,8 @@
          std::string_view(" \r\n").find(head[code + kOk.size()]) != std::string_view::npos;
 }
 
-// A closed or chattering peer shows in what can be read from a connection that should be silent.
+// An idle connection must have nothing to read: readable means that the peer has closed it or sent surplus
+// bytes.
 bool is_usable(tcp::socket& socket) {
   char byte = 0;
   const ssize_t got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -60,18 +62,19 @@
   return value;
 }
 
-// A wait that is no number is none. It binds also messages that are yet to come, so it is not cut short by
-// the lives of those that are here; its bound guards the arithmetic alone.
+// A value that is no number counts as 0. It applies to messages yet to come as well, so it is not limited by
+// the lifetime of present ones; the limit only guards against overflow.
 Time parse_retry_after(std::string_view text) {
   return static_cast<Time>(std::ceil(std::min(parse_decimal(text).value_or(0), kMaxRetryAfterSeconds) * 1e6));
 }
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// All of it or nothing: a field that cannot be read would pass for a limit or a load of zero.
+// A report with any malformed field is dropped as a whole: an unreadable field would be taken for a limit or
+// load of zero.
 std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields) {
   if (fields.empty() || text.empty()) return {};
-  std::vector<float> out(fields.size(), std::numeric_limits<float>::quiet_NaN());  // not told
+  std::vector<float> out(fields.size(), std::numeric_limits<float>::quiet_NaN());  // not reported
   while (!text.empty()) {
     const std::string_view item = text.substr(0, text.find(','));
     text.remove_prefix(std::min(text.size(), item.size() + 1));
@@ -88,13 +91,13 @@
 
 }  // namespace
 
-// One request and its answer on one connection. The answer is listened for from the request's first byte on:
-// a host may turn a call away before it has read all of it, and what it tells then binds as ever. How far the
-// request is (`Sent`), and what leads on:
-//   kNothing  its connection comes up, or the last look has not let it go yet; -> kPart by the first byte
-//   kPart     -> kWhole by the last byte, -> kBroken by an error: the rest will never go, so it cannot run
-//   kWhole    from here on it may have run
-//   kBroken   -> over, by what had come before the end, or by the end
+// One request and its reply on one connection. The reply is read from the request's first byte on: a host may
+// refuse a call before it has read all of it, and a Retry-After in such a reply counts as in any other.
+// States of the request (`RequestState`) and transitions:
+//   kNotSent     connecting, or waiting for MayStart; -> kPartlySent by the first byte
+//   kPartlySent  -> kSent by the last byte, -> kFailed by an error: the rest is never sent and cannot execute
+//   kSent        from here on the call may be executed
+//   kFailed      -> finished, by a reply that has arrived before, or by the end of the connection
 class Upstream::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(Upstream& owner, Call call, bool probe)
@@ -127,8 +130,8 @@
   }
 
  private:
-  // A second answer right behind the first would be taken for this call's: it shows before the call is
-  // written.
+  // Waits until surplus bytes after the last reply would have arrived: a second reply would otherwise be
+  // taken for the reply to this call.
   void wait_until_settled(Time ready) {
     if (steady_now() >= ready) return reuse_connection();
     timer_.expires_at(at_time(ready));
@@ -160,9 +163,9 @@
     });
   }
 
-  // An expiry that stood in the loop's queue when the timer was set anew still arrives, and is not the new
-  // one's: a connection that comes up in the very turn in which its time ends has the call's time from then
-  // on.
+  // An expiry that was already queued when the timer is set again still runs its handler; the generation
+  // tells it apart. Otherwise a connection that is established in the same turn in which its connect time-out
+  // expires would be aborted instead of getting the call's own time-out.
   void set_timer(Time at) {
     timer_.expires_at(at_time(at));
     timer_.async_wait([self = shared_from_this(), generation = ++timer_generation_](const Error& error) {
@@ -170,21 +173,22 @@
     });
   }
 
-  // What was never wholly written cannot have run. Whether it was is known only once the write has ended: one
-  // that is done and not yet reported, taken for none, would let an unsafe call go twice.
+  // A request that was not written completely cannot have been executed. Whether it was is known only when
+  // the write has ended: if a completed but unreported write counted as incomplete, an unsafe call could be
+  // sent twice.
   void abort(Outcome outcome) {
     if (finished_ || abort_outcome_) return;
     if (reply_started_) return finish_malformed();
     if (request_state_ != RequestState::kPartlySent) return finish(outcome_without_reply(outcome));
     abort_outcome_ = outcome;
-    // Not cancelled: between two parts of a long write there is nothing to cancel, and the next one would
-    // wait for its host for ever.
+    // Closes the socket, as cancelling is not enough: between two parts of a long write there is nothing to
+    // cancel, and the next part might wait for the host for ever.
     Error ignored;
     socket_.close(ignored);
   }
 
   void write() {
-    // The connection took its time: what was told meanwhile counts.
+    // Connecting took time, and conditions may have changed meanwhile.
     const StartDecision start = !is_probe_                           ? owner_->may_start_(call_)
                                 : owner_->may_probe_(call_.endpoint) ? StartDecision::kYes
                                                                      : StartDecision::kNo;
@@ -217,7 +221,7 @@
     read();
   }
 
-  // What became of a call to which nothing was answered.
+  // Outcome of a call without a reply: `if_sent`, if the request was written completely.
   Outcome outcome_without_reply(Outcome if_sent) const {
     return request_state_ == RequestState::kSent ? if_sent : Outcome::kConnectFailed;
   }
@@ -233,8 +237,8 @@
                             });
   }
 
-  // From its first byte on an answer has little time to become whole: a host that spoils it may leave the
-  // connection open, or go on for ever.
+  // Once a reply has begun it has little time to complete: a host that sends a malformed one may keep the
+  // connection open or send for ever.
   void on_reply_bytes() {
     if (!reply_started_) {
       reply_started_ = true;
@@ -245,7 +249,7 @@
     read();
   }
 
-  // False: it is no answer. The buffer holds a first line until the parser takes it.
+  // False: malformed. The buffer keeps the status line until the parser consumes it.
   bool parse_reply() {
     while (true) {
       if (!parser_) {
@@ -264,16 +268,16 @@
       buffer_.consume(consumed);
       if (error && error != http::error::need_more) return false;
       if (!parser_->is_done() || parser_->get().result_int() >= 200) return true;
-      parser_.reset();  // 1xx: the answer itself follows
+      parser_.reset();  // 1xx: the final reply follows
       status_line_parsed_ = false;
       if (buffer_.size() == 0) return true;
     }
   }
 
-  // The host ended the connection, which may be how it marks an answer's end. A request that was wholly
-  // written is known to be: the end of its write stands in the loop's queue before this.
+  // The host closed the connection, which may mark the end of the reply. If the request was written
+  // completely, its write handler was queued before this one, so request_state_ is up to date.
   void on_connection_ended(const Error& error) {
-    if (abort_outcome_) return;  // the read was cut off with the write, which decides
+    if (abort_outcome_) return;  // the socket was closed by abort(): the write handler decides
     if (!reply_started_) return finish(outcome_without_reply(Outcome::kReset));
     Error incomplete;
     if (error == boost::asio::error::eof && parser_ && parser_->is_header_done()) {
@@ -283,8 +287,8 @@
     finish_malformed();
   }
 
-  // The answer will never be whole. The call may have run whatever status it shows, and has if its first line
-  // says so. A wait that its head tells has been told all the same.
+  // The reply is incomplete or unreadable. The call may have been executed whatever the status, and was if
+  // the status line says 200. A Retry-After in a complete header still counts.
   void finish_malformed() {
     final_ = status_ok_;
     if (parser_ && parser_->is_header_done() && parser_->get().result_int() == 429) read_retry_after();
@@ -311,8 +315,8 @@
         return finish(Outcome::kRefused);
       case 503:
         if (view(reply["X-Egress-Full"]) == "1") return finish(Outcome::kNotStarted);
-        // Turned away and hung up on at once, on a new connection: the host holds all that it takes. Where it
-        // is over a limit or its queue is full, the connection stays.
+        // Refused and closed on a new connection: the host has reached its limit of connections. If it is
+        // over a rate limit or its queue is full, it keeps the connection open.
         connection_limit_reached_ = new_connection_ && !parser_->keep_alive();
         return finish(Outcome::kRefused);
       case 504:
@@ -333,8 +337,8 @@
       Error ignored;
       socket_.close(ignored);
     }
-    // After silence the host's other idle connections are suspect: a call lost on one may have run, one that
-    // finds no new connection has not.
+    // The host's other idle connections may be dead as well. A call lost on one may have been executed, while
+    // a call that cannot connect was not.
     if (outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kConnectFailed) {
       owner_->close_idle(call_.endpoint);
     }
@@ -367,16 +371,16 @@
   std::optional<http::response_parser<http::string_body>> parser_;
   Time started_at_ = 0;
   Time deadline_ = 0;
-  uint64_t timer_generation_ = 0;  // how often the timer was set
+  uint64_t timer_generation_ = 0;  // number of times that timer_ was set
   RequestState request_state_ = RequestState::kNotSent;
-  std::optional<Outcome> abort_outcome_;  // while its write had not ended
+  std::optional<Outcome> abort_outcome_;  // set if aborted while the write was pending
   bool finished_ = false;
-  bool new_connection_ = false;  // it began on a new connection
+  bool new_connection_ = false;  // as opposed to an idle one that was reused
   bool connection_limit_reached_ = false;
-  bool reusable_ = false;            // the connection may be used again
-  bool reply_started_ = false;       // the answer has begun
-  bool status_line_parsed_ = false;  // the parser has taken its first line
-  bool status_ok_ = false;           // and its first line says 200
+  bool reusable_ = false;            // the connection may be reused
+  bool reply_started_ = false;       // a byte of the reply has arrived
+  bool status_line_parsed_ = false;  // the parser has consumed the status line
+  bool status_ok_ = false;           // the status line says 200
   size_t bytes_read_ = 0;
   bool final_ = false;
   Time retry_after_ = 0;
@@ -459,7 +463,7 @@
   ++idle_count_;
 }
 
-// Makes room for a call: of all idle connections the one used least recently goes.
+// Makes room for a call: closes the least recently used idle connection.
 void Upstream::close_oldest_idle() {
   const auto oldest =
       std::min_element(idle_connections_.begin(), idle_connections_.end(), [](const auto& a, const auto& b) {
--- a/relay/upstream.h
+++ b/relay/upstream.h
@@ -1,4 +1,4 @@
-// Calls to hosts over kept-alive HTTP/1.1 connections. Nothing is ever sent again by itself.
+// HTTP/1.1 client for calls and probes to hosts, with keep-alive connections. It never retries on its own.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 namespace firspool::relay {
 
 struct Call {
-  uint64_t id = 0;  // the module's
+  uint64_t id = 0;  // of the message, as the module knows it
   int attempt = 0;
   Endpoint endpoint;
   tcp::endpoint address;
@@ -24,23 +24,23 @@
   std::string key;
   std::string body;
   Time timeout = 0;
-  Time start_by = 0;  // no byte of it may be written later
+  Time start_by = 0;  // the first byte must be written by this time
 };
 
 class Upstream {
  public:
   struct Limits {
     Time connect_timeout = 0;
-    Time idle_timeout = 0;         // a host closes a connection that has been idle for so long
-    size_t max_connections = 256;  // connections, with a call on them or idle
+    Time idle_timeout = 0;         // after which a host closes an idle connection
+    size_t max_connections = 256;  // in use or idle
   };
-  // Asked right before a call's first byte: a call that may no longer start ends as kNotStarted, one that may
-  // not yet is asked for again by `retry_deferred`.
+  // Called right before the first byte of a call. kNo ends the call as Outcome::kNotStarted; kLater defers it
+  // until `retry_deferred`, which calls again.
   enum class StartDecision { kYes, kNo, kLater };
   using MayStart = std::function<StartDecision(const Call&)>;
-  using MayProbe = std::function<bool(const Endpoint&)>;  // the same of a probe
-  using AttemptCallback =
-      std::function<void(const AttemptEnded&, bool started)>;  // began: MayStart allowed it
+  using MayProbe = std::function<bool(const Endpoint&)>;  // the same for a probe
+  // `started`: MayStart allowed the call, so that bytes of it may have been written.
+  using AttemptCallback = std::function<void(const AttemptEnded&, bool started)>;
   using ProbeCallback = std::function<void(const ProbeEnded&)>;
 
   Upstream(boost::asio::io_context& io, Limits limits, std::vector<std::string> report_fields,
@@ -52,6 +52,7 @@
   void cancel(uint64_t id, int attempt);
   void probe(const Endpoint& endpoint, const tcp::endpoint& address);
   void close_idle(const Endpoint& endpoint);
+  // Asks MayStart again for the calls that it deferred.
   void retry_deferred();
   size_t in_flight() const { return exchanges_.size(); }
 
@@ -80,7 +81,7 @@
   size_t idle_count_ = 0;
   std::map<Endpoint, std::vector<IdleConnection>> idle_connections_;  // the most recently used last
   std::map<std::tuple<bool, uint64_t, int>, std::shared_ptr<Exchange>> exchanges_;
-  std::vector<std::shared_ptr<Exchange>> deferred_;  // that may not start yet
+  std::vector<std::shared_ptr<Exchange>> deferred_;  // waiting for retry_deferred
 };
 
 }  // namespace firspool::relay
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes of calls, against a host that the test plays.
+// Outcomes of calls to a host that the test plays.
 #include "upstream.h"
 
 #include <sys/socket.h>
@@ -17,7 +17,7 @@
 
 class UpstreamTest : public ::testing::Test {
  protected:
-  // Makes one call and runs the loop to its end; the host's part runs beside it.
+  // Makes one call and runs the event loop until it ends; `host_part` runs in a thread beside it.
   AttemptEnded call(const std::function<void(FakeHost&)>& host_part, Time timeout = 20'000'000) {
     std::thread host([&] { host_part(host_); });
     AttemptEnded out = call_to(host_.port(), timeout);
@@ -53,7 +53,8 @@
     };
   }
 
-  // The call of a relay whose loop stands still for a while: what happens meanwhile is found in one turn.
+  // A call of a relay whose event loop is blocked for a while: all that happens meanwhile is handled in one
+  // turn.
   AttemptEnded call_with_delayed_loop(const std::function<void(FakeHost&)>& host_part, Time connect_timeout) {
     boost::asio::io_context io;
     std::optional<AttemptEnded> end;
@@ -94,8 +95,8 @@
                      [this](const ProbeEnded& end) { probe_ = end; }};
 };
 
-// A full table of connections: turned away and hung up on, on a new connection. On one that was in use it is
-// the host that leaves, and where the connection stays it is over a limit.
+// A host at its connection limit refuses a call on a new connection and closes it. On a reused connection the
+// close means that the host is going away, and a connection that stays open means a rate limit.
 TEST_F(UpstreamTest, TellsAFullTableFromALimit) {
   const auto refuse_and_close = [](FakeHost& host) {
     host.next_request();
@@ -105,8 +106,8 @@
   const AttemptEnded limit_reached = call(refuse_and_close);
   EXPECT_EQ(limit_reached.outcome, Outcome::kRefused);
   EXPECT_TRUE(limit_reached.connection_limit_reached);
-  EXPECT_FALSE(call(replying("503")).connection_limit_reached);   // on a new one that stays
-  EXPECT_FALSE(call(refuse_and_close).connection_limit_reached);  // on that
+  EXPECT_FALSE(call(replying("503")).connection_limit_reached);   // on a new connection that stays open
+  EXPECT_FALSE(call(refuse_and_close).connection_limit_reached);  // on the same connection
   EXPECT_EQ(host_.connections(), 2);
 }
 
@@ -150,8 +151,9 @@
   EXPECT_FALSE(started_);
 }
 
-// A relay short of processor time finds in one turn that the connection is up and that its time is over. The
-// request goes out, so what comes of it counts: "could not connect" would let an unsafe message go twice.
+// A relay short of CPU time finds in one turn that the connection is established and that its time-out has
+// expired. The request is sent, so its outcome counts: "could not connect" would let an unsafe message be
+// sent twice.
 TEST_F(UpstreamTest, AConnectionThatComesUpInTheTurnInWhichItsTimeEndsIsUsed) {
   EXPECT_EQ(call_with_delayed_loop(replying("200"), 20'000).outcome, Outcome::kOk);
   EXPECT_EQ(call_with_delayed_loop(
@@ -164,11 +166,12 @@
             Outcome::kReset);
 }
 
-// Given up between the write of its last byte and the word that it was written: it may have run.
+// Cancelled after the last byte was written but before the write handler ran: the call may have been
+// executed.
 TEST_F(UpstreamTest, ACallThatIsCancelledAsItIsWrittenMayHaveRun) {
   at_start_ = [this] { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); };
   const AttemptEnded end = call([](FakeHost& host) {
-    host.next_request();  // all of it came
+    host.next_request();  // the request arrived completely
     EXPECT_TRUE(host.closed_by_peer());
   });
   EXPECT_EQ(end.outcome, Outcome::kCancelled);
@@ -184,7 +187,7 @@
   EXPECT_TRUE(end.outcome == Outcome::kMalformed || end.outcome == Outcome::kCancelled);
 }
 
-// Long silence, then the end of the connection: by then nobody knows any more how far the call got.
+// A long silence, then the end of the connection: it is unknown whether the call was executed.
 TEST_F(UpstreamTest, AResetTwoSecondsAfterTheLastByteMayHaveRun) {
   std::promise<void> later;
   boost::asio::steady_timer timer(io_, std::chrono::seconds(2));
@@ -200,11 +203,11 @@
   EXPECT_EQ(host_.connections(), 2);
 }
 
-// A host may turn a call away by its head alone. Unread until the last byte were written, a told wait would
-// not be known, and the next call would go right into it.
+// A host may refuse a call after reading only its header. If replies were read only after the last byte of
+// the request, the Retry-After would be missed and the next call sent too early.
 TEST_F(UpstreamTest, AnAnswerThatComesBeforeTheRequestIsWhollyWrittenCounts) {
   host_.limit_receive_buffer();
-  body_.assign(16 * 1024 * 1024, 'x');  // more than the system holds back for a connection
+  body_.assign(16 * 1024 * 1024, 'x');  // more than the kernel buffers for a connection
   const AttemptEnded refused = call([](FakeHost& host) {
     host.read_head();
     host.respond("429", "Retry-After: 1.5\r\n");
@@ -216,7 +219,7 @@
   const AttemptEnded limit_reached = call([](FakeHost& host) {
     host.read_head();
     host.respond("503", "Connection: close\r\n");
-    host.close();  // over what it did not read: a reset follows the answer
+    host.close();  // with unread input, so that a reset follows the reply
   });
   EXPECT_EQ(limit_reached.outcome, Outcome::kRefused);
   EXPECT_TRUE(limit_reached.connection_limit_reached);
@@ -226,10 +229,10 @@
     EXPECT_TRUE(host.drained_until_closed());
   });
   EXPECT_EQ(delivered.outcome, Outcome::kOk);
-  EXPECT_EQ(host_.connections(), 3) << "the rest of a request must not stand ahead of the next one";
+  EXPECT_EQ(host_.connections(), 3) << "the rest of a request must not precede the next one on a connection";
 }
 
-// What was not wholly written never ran, however its connection ends.
+// A request that was not written completely was not executed, however its connection ends.
 TEST_F(UpstreamTest, ACallThatBreaksOffBeforeItsLastByteNeverRan) {
   host_.limit_receive_buffer();
   body_.assign(16 * 1024 * 1024, 'x');
@@ -250,8 +253,7 @@
   EXPECT_TRUE(started_);
 }
 
-// Given up when a part of its request is written and that is not reported yet, with a host that reads no
-// more.
+// Cancelled when a part of the request is written but not reported yet, while the host reads no more.
 TEST_F(UpstreamTest, ACallThatIsCancelledBetweenTwoPartsOfItsRequestEnds) {
   host_.limit_receive_buffer();
   body_.assign(16 * 1024 * 1024, 'x');
@@ -260,8 +262,8 @@
   EXPECT_TRUE(started_);
 }
 
-// Fills a listener's queue, so that the next connection comes up only once that is emptied: the system tries
-// again after a second.
+// A listener with a full backlog: the next connection is established only after the backlog is emptied, when
+// the kernel retries after a second.
 class FullBacklog {
  public:
   FullBacklog() {
@@ -293,19 +295,20 @@
   while (!end) io.run_one();
   host.join();
   EXPECT_EQ(end->outcome, Outcome::kOk);
-  EXPECT_GE(end->duration, 500'000) << "its connection was up at once";
+  EXPECT_GE(end->duration, 500'000) << "the connection was established at once";
 }
 
-// Nothing of it is ever written, also where the connection comes up after all.
+// Nothing is ever written, even if the connection is established after all.
 TEST_F(UpstreamTest, ACallThatIsCancelledWhileItConnectsNeverRan) {
   FullBacklog queue;
   boost::asio::post(io_, [this] { boost::asio::post(io_, [this] { upstream_.cancel(last_, 0); }); });
   EXPECT_EQ(call_to(queue.listener.port(), 20'000'000).outcome, Outcome::kConnectFailed);
   EXPECT_FALSE(started_);
-  EXPECT_LT(attempt_->duration, 900'000) << "its time to connect ended it";
+  EXPECT_LT(attempt_->duration, 900'000) << "it was ended by the connect time-out";
 }
 
-// While its record is being synced a call has written nothing: given up then, it goes nowhere afterwards.
+// A call that waits for the sync of its record has written nothing; cancelled then, it must not be sent
+// later.
 TEST_F(UpstreamTest, ACallThatIsCancelledWhileItsRecordIsSyncedNeverRan) {
   const testing::Socket listener = testing::Socket::listen();
   boost::asio::io_context io;
@@ -334,20 +337,21 @@
   io.poll();
   EXPECT_EQ(start_requests, 1);
   testing::Socket connection = listener.accept();
-  EXPECT_TRUE(connection.closed_by_peer()) << "something was written";
+  EXPECT_TRUE(connection.closed_by_peer()) << "bytes were written";
 }
 
-// The host drained, or its destination told another call to wait, while this one's connection came up.
+// The host started to drain, or another call received a Retry-After, while the connection was established.
 TEST_F(UpstreamTest, LooksOnceMoreBeforeTheFirstByte) {
   may_start_ = false;
   EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, Outcome::kNotStarted);
   EXPECT_FALSE(started_);
   may_start_ = true;
   EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
-  EXPECT_EQ(host_.connections(), 1);  // the connection stayed, and no byte was written to it before
+  EXPECT_EQ(host_.connections(), 1);  // the connection was kept, and no byte was written to it before
 }
 
-// A probe counts as a call: its connection may come up after the host was drained or told to wait.
+// A probe counts as a call: the host may start to drain or send a Retry-After while its connection is
+// established.
 TEST_F(UpstreamTest, AProbeLooksOnceMoreBeforeItsFirstByteToo) {
   const auto probe = [this] {
     probe_.reset();
@@ -368,7 +372,7 @@
   EXPECT_EQ(host_.connections(), 1);
 }
 
-// A call on a connection that the host has closed would end as a reset, and may have run.
+// A call on a connection that the host has closed would end with a reset and count as possibly executed.
 TEST_F(UpstreamTest, DoesNotUseAConnectionThatTheHostClosed) {
   EXPECT_EQ(call([](FakeHost& host) {
               host.next_request();
@@ -380,9 +384,9 @@
   EXPECT_EQ(host_.connections(), 2);
 }
 
-// An answer that can never be whole tells only that the call may have run, whatever status it shows: taken
-// for a refusal it would let an unsafe message go twice. The host leaves the connection open, so it is
-// settled long before the time-out, and the connection is not used again.
+// A malformed reply says only that the call may have been executed, whatever its status: taken for a refusal
+// it would let an unsafe message be sent twice. The host keeps the connection open here; the call must still
+// end long before its time-out, and the connection must not be reused.
 TEST_F(UpstreamTest, ASpoiltAnswerMayHaveRun) {
   int connections = 0;
   for (const std::string& bytes :
@@ -403,8 +407,8 @@
   }
 }
 
-// Cut after each byte: nothing of it is taken for a refusal, and a first line with 200 is true from its end
-// on.
+// Replies truncated after each byte: none is taken for a refusal, and a complete status line with 200 counts
+// as delivered.
 TEST_F(UpstreamTest, AnAnswerThatBreaksOffAfterAnyByteMayHaveRun) {
   for (const std::string status : {"429 x", "503 x", "200 x"}) {
     const std::string reply = "HTTP/1.1 " + status + "\r\nRetry-After: 1.5\r\nContent-Length: 4\r\n\r\nbody";
@@ -421,7 +425,7 @@
                                          : Outcome::kMalformed)
           << cut;
       EXPECT_EQ(end.final, delivered) << cut;
-      // A wait that was told counts, whatever became of the rest.
+      // A Retry-After in a complete header counts, whatever became of the rest.
       EXPECT_EQ(end.retry_after, status.starts_with("429") && cut >= head ? 1'500'000 : 0) << cut;
     }
   }
@@ -437,8 +441,8 @@
   EXPECT_EQ(end.outcome, Outcome::kRefused);
 }
 
-// Half a line on a resting connection, in the instant in which the next call is written: no answer can be
-// told from it, and the call may have run.
+// Half a status line arrives on an idle connection just as the next call is written: the reply cannot be
+// parsed, and the call may have been executed.
 TEST_F(UpstreamTest, HalfALineAheadOfTheNextAnswerMayHaveRun) {
   EXPECT_EQ(call(replying("200")).outcome, Outcome::kOk);
   const AttemptEnded end = call([](FakeHost& host) {
@@ -478,7 +482,7 @@
   EXPECT_EQ(host_.connections(), 1);
 }
 
-// The second copy would be taken for the next call's answer.
+// The second copy would be taken for the reply to the next call.
 TEST_F(UpstreamTest, DoesNotUseAConnectionAgainThatBroughtMoreThanItsAnswer) {
   const std::string copy = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
   for (const std::string& bytes : {copy + copy, copy + "noise"}) {
@@ -494,7 +498,7 @@
   }
 }
 
-// A field read as zero would pass for a limit or a load of zero.
+// A field read as zero would be taken for a limit or a load of zero.
 TEST_F(UpstreamTest, DropsAReportThatItCannotRead) {
   for (const std::string report : {"x0=0.5,x1=?", "x0=nan,x1=25", "x0=-1,x1=25", "x0", "x0=0.5 x1=25"}) {
     EXPECT_TRUE(call(replying("200", "X-Load-Report: " + report + "\r\n")).report.empty()) << report;
@@ -512,8 +516,8 @@
   EXPECT_EQ(call(replying("429", "Retry-After: 1e30\r\n")).retry_after, 24 * Time{3600'000'000});
 }
 
-// Held to the longest life of a message, a wait of 10.8 s ended after 5 s where messages live for 5 s, and
-// what came in the meantime was sent into it.
+// A Retry-After used to be limited to the longest lifetime of a message: where messages live for 5 s, one
+// of 10.8 s ended after 5 s, and later messages were sent too early.
 TEST_F(UpstreamTest, AWaitIsNotCutShort) {
   EXPECT_EQ(call(replying("429", "Retry-After: 10.8\r\n")).retry_after, 10'800'000);
   EXPECT_EQ(call(replying("429", "Retry-After: 3600.5\r\n")).retry_after, 3600'500'000);
