--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -14,14 +14,14 @@
 using umberhoist::members::WatchEnd;
 using umberhoist::members::WatchScheduler;
 
-constexpr milliseconds kFirstPause{50};
-constexpr size_t kMostOld = 2;
+constexpr milliseconds kMinRetryDelay{50};
+constexpr size_t kMaxOldStreams = 2;
 // The agent is on this machine and answers at once. A notice may be 300 ms late: a second try still is in
 // time.
 constexpr milliseconds kPostTimeout{150};
-constexpr milliseconds kLongestPostPause{200};
-constexpr size_t kMostList = 8 * 1024 * 1024;
-constexpr size_t kMostNotices = 200;  // in one request: well under the largest body
+constexpr milliseconds kMaxPostRetryDelay{200};
+constexpr size_t kMaxListBytes = 8 * 1024 * 1024;
+constexpr size_t kMaxNoticesPerPost = 200;  // in one request: well under the largest body
 
 }  // namespace
 
@@ -37,7 +37,7 @@
       : owner_(&owner), address_(owner.address_), socket_(owner.io_), timer_(owner.io_) {}
 
   void start(int64_t revision) {
-    expect_by(owner_->pace_.first_item_timeout());
+    set_timeout(owner_->scheduler_.first_item_timeout());
     request_.version(11);
     request_.method(http::verb::get);
     request_.target("/api/targets?stream=1&index=" + std::to_string(revision));
@@ -47,14 +47,14 @@
       if (error) return self->end();
       http::async_write(self->socket_, self->request_, [self](const Error& failed, size_t) {
         if (failed || self->state_ == State::kEnded) return self->end();
-        self->state_ = State::kAsked;
+        self->state_ = State::kRequested;
         http::async_read_header(self->socket_, self->buffer_, self->parser_,
-                                [self](const Error& none, size_t) { self->head(none); });
+                                [self](const Error& header_error, size_t) { self->on_header(header_error); });
       });
     });
   }
 
-  WatchEnd how() const { return how_; }
+  WatchEnd end_reason() const { return end_; }
 
   void close() {
     owner_ = nullptr;
@@ -65,12 +65,12 @@
   }
 
  private:
-  enum class State { kConnecting, kAsked, kFollowing, kEnded };
+  enum class State { kConnecting, kRequested, kFollowing, kEnded };
 
-  void head(const Error& error) {
+  void on_header(const Error& error) {
     if (error) return end();
     if (parser_.get().result_int() != 200) {
-      how_ = WatchEnd::kRefused;
+      end_ = WatchEnd::kRefused;
       return end();
     }
     read();
@@ -80,14 +80,14 @@
     http::async_read_some(socket_, buffer_, parser_, [self = shared_from_this()](const Error& error, size_t) {
       if (self->owner_ == nullptr) return;
       std::string& body = self->parser_.get().body();
-      self->words_.feed(body);
+      self->list_parser_.feed(body);
       body.clear();
       while (true) {
-        const ListStreamParser::Item word = self->words_.next();
-        if (word.kind == ListStreamParser::ItemKind::kIncomplete) break;
-        if (word.kind == ListStreamParser::ItemKind::kMalformed) return self->end();
-        self->heard();
-        const bool readable = self->owner_->word(word.text);
+        const ListStreamParser::Item item = self->list_parser_.next();
+        if (item.kind == ListStreamParser::ItemKind::kIncomplete) break;
+        if (item.kind == ListStreamParser::ItemKind::kMalformed) return self->end();
+        self->on_item();
+        const bool readable = self->owner_->handle_item(item.text);
         if (self->owner_ == nullptr) return;
         if (!readable) return self->end();
       }
@@ -97,107 +97,108 @@
   }
 
   // Bytes alone are no sign of life: a list that never ends is silence.
-  void heard() {
+  void on_item() {
     state_ = State::kFollowing;
-    how_ = WatchEnd::kBroken;
-    expect_by(WatchScheduler::kSilenceTimeout);
+    end_ = WatchEnd::kBroken;
+    set_timeout(WatchScheduler::kSilenceTimeout);
   }
 
   // Guards against an agent or a path that fell silent with its connection open, or in the head, or before.
-  void expect_by(Time within) {
-    timer_.expires_after(std::chrono::microseconds(within));
-    timer_.async_wait([self = shared_from_this(), due = ++due_](const Error& error) {
-      if (!error && due == self->due_) self->end();
+  void set_timeout(Time timeout) {
+    timer_.expires_after(std::chrono::microseconds(timeout));
+    timer_.async_wait([self = shared_from_this(), generation = ++timer_generation_](const Error& error) {
+      if (!error && generation == self->timer_generation_) self->end();
     });
   }
 
   void end() {
     state_ = State::kEnded;
-    if (owner_ != nullptr) owner_->lost(shared_from_this());
+    if (owner_ != nullptr) owner_->on_stream_ended(shared_from_this());
   }
 
   DiscoveryWatch* owner_;
   tcp::endpoint address_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  uint64_t due_ = 0;  // how often the timer was set: an expiry of before, queued already, is of no weight
+  uint64_t timer_generation_ =
+      0;  // how often the timer was set: an expiry of before, queued already, is of no weight
   State state_ = State::kConnecting;
-  WatchEnd how_ = WatchEnd::kNoResponse;
+  WatchEnd end_ = WatchEnd::kNoResponse;
   http::request<http::empty_body> request_;
   boost::beast::flat_buffer buffer_;
   http::response_parser<http::string_body> parser_;
-  ListStreamParser words_{kMostList};
+  ListStreamParser list_parser_{kMaxListBytes};
 };
 
 DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names,
-                               RevisionProvider revision, ListCallback told, std::function<void()> current,
-                               umberhoist::members::WatchScheduler pace, bool list_known)
+                               RevisionProvider revision, ListCallback on_list, std::function<void()> on_item,
+                               umberhoist::members::WatchScheduler scheduler, bool list_known)
     : io_(io),
       address_(address),
       names_(std::move(names)),
-      revision_(std::move(revision)),
-      told_(std::move(told)),
-      current_(std::move(current)),
-      pace_(std::move(pace)),
-      pause_(io) {
-  const Time pause = pace_.initial_delay(list_known);
-  pause > 0 ? connect_after(pause) : connect();
+      get_revision_(std::move(revision)),
+      on_list_(std::move(on_list)),
+      on_item_(std::move(on_item)),
+      scheduler_(std::move(scheduler)),
+      retry_timer_(io) {
+  const Time delay = scheduler_.initial_delay(list_known);
+  delay > 0 ? connect_after(delay) : connect();
 }
 
 DiscoveryWatch::~DiscoveryWatch() {
   if (stream_) stream_->close();
-  for (const auto& stream : old_) stream->close();
+  for (const auto& stream : old_streams_) stream->close();
 }
 
 void DiscoveryWatch::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  if (stream_) old_.push_back(std::exchange(stream_, nullptr));
-  if (old_.size() > kMostOld) {
-    old_.front()->close();
-    old_.erase(old_.begin());
+  if (stream_) old_streams_.push_back(std::exchange(stream_, nullptr));
+  if (old_streams_.size() > kMaxOldStreams) {
+    old_streams_.front()->close();
+    old_streams_.erase(old_streams_.begin());
   }
-  pause_.cancel();
-  pace_.on_item();
+  retry_timer_.cancel();
+  scheduler_.on_item();
   // Every relay is told the new address in the same moment, as at a start.
-  const Time pause = pace_.initial_delay(true);
-  pause > 0 ? connect_after(pause) : connect();
+  const Time delay = scheduler_.initial_delay(true);
+  delay > 0 ? connect_after(delay) : connect();
 }
 
-void DiscoveryWatch::connect_after(Time pause) {
-  pause_.expires_after(std::chrono::microseconds(pause));
-  pause_.async_wait([this](const Error& error) {
+void DiscoveryWatch::connect_after(Time delay) {
+  retry_timer_.expires_after(std::chrono::microseconds(delay));
+  retry_timer_.async_wait([this](const Error& error) {
     if (!error && !stream_) connect();
   });
 }
 
 void DiscoveryWatch::connect() {
   stream_ = std::make_shared<Stream>(*this);
-  stream_->start(revision_());
+  stream_->start(get_revision_());
 }
 
-void DiscoveryWatch::lost(const std::shared_ptr<Stream>& stream) {
+void DiscoveryWatch::on_stream_ended(const std::shared_ptr<Stream>& stream) {
   stream->close();
-  if (stream != stream_) return void(std::erase(old_, stream));
+  if (stream != stream_) return void(std::erase(old_streams_, stream));
   stream_.reset();
-  connect_after(pace_.retry_delay(stream->how()));
+  connect_after(scheduler_.retry_delay(stream->end_reason()));
 }
 
-bool DiscoveryWatch::word(const std::string& list) {
+bool DiscoveryWatch::handle_item(const std::string& list) {
   try {
-    if (!list.empty()) told_(parse_list(nlohmann::json::parse(list), names_));
+    if (!list.empty()) on_list_(parse_list(nlohmann::json::parse(list), names_));
   } catch (const std::exception&) {  // unreadable: from the start, on a new connection
     return false;
   }
-  pace_.on_item();
-  current_();
+  scheduler_.on_item();
+  on_item_();
   return true;
 }
 
 // A kept-alive connection for notices, one request at a time.
-class NoticeSender::Post : public std::enable_shared_from_this<Post> {
+class NoticeSender::PostConnection : public std::enable_shared_from_this<PostConnection> {
  public:
-  explicit Post(NoticeSender& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
+  explicit PostConnection(NoticeSender& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
 
   void send(const std::string& body) {
     request_ = {};
@@ -234,18 +235,18 @@
   void write() {
     http::async_write(socket_, request_, [self = shared_from_this()](const Error& error, size_t) {
       if (error) return self->end(false);
-      self->answer_ = {};
-      http::async_read(self->socket_, self->buffer_, self->answer_, [self](const Error& failed, size_t) {
-        self->reusable_ = !failed && self->answer_.keep_alive();
-        self->end(!failed && self->answer_.result_int() == 204);
+      self->response_ = {};
+      http::async_read(self->socket_, self->buffer_, self->response_, [self](const Error& failed, size_t) {
+        self->reusable_ = !failed && self->response_.keep_alive();
+        self->end(!failed && self->response_.result_int() == 204);
       });
     });
   }
 
-  void end(bool taken) {
+  void end(bool acknowledged) {
     timer_.cancel();
-    reusable_ = reusable_ && taken;
-    if (owner_ != nullptr) owner_->ended(taken);
+    reusable_ = reusable_ && acknowledged;
+    if (owner_ != nullptr) owner_->on_post_ended(acknowledged);
   }
 
   NoticeSender* owner_;
@@ -253,65 +254,69 @@
   boost::asio::steady_timer timer_;
   http::request<http::string_body> request_;
   boost::beast::flat_buffer buffer_;
-  http::response<http::string_body> answer_;
+  http::response<http::string_body> response_;
   bool reusable_ = false;
 };
 
 NoticeSender::NoticeSender(boost::asio::io_context& io, const tcp::endpoint& address,
-                           AcknowledgedCallback sent)
-    : io_(io), address_(address), sent_(std::move(sent)), pause_(io), back_off_(kFirstPause) {}
+                           AcknowledgedCallback on_acknowledged)
+    : io_(io),
+      address_(address),
+      on_acknowledged_(std::move(on_acknowledged)),
+      retry_timer_(io),
+      retry_delay_(kMinRetryDelay) {}
 
 NoticeSender::~NoticeSender() {
-  if (post_) post_->close();
+  if (connection_) connection_->close();
 }
 
 void NoticeSender::add(Notice notice) {
   queue_.push_back(std::move(notice));
-  if (queue_.size() == 1) proceed();
+  if (queue_.size() == 1) send_next();
 }
 
 void NoticeSender::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  if (post_) post_->close();
-  post_.reset();
-  out_ = 0;
-  pause_.cancel();
-  back_off_ = kFirstPause;
-  proceed();
+  if (connection_) connection_->close();
+  connection_.reset();
+  in_flight_ = 0;
+  retry_timer_.cancel();
+  retry_delay_ = kMinRetryDelay;
+  send_next();
 }
 
-void NoticeSender::proceed() {
-  if (out_ > 0 || queue_.empty()) return;
+void NoticeSender::send_next() {
+  if (in_flight_ > 0 || queue_.empty()) return;
   std::string body;
-  for (; out_ < std::min(queue_.size(), kMostNotices); ++out_) {
-    const Notice& notice = queue_[out_];
+  for (; in_flight_ < std::min(queue_.size(), kMaxNoticesPerPost); ++in_flight_) {
+    const Notice& notice = queue_[in_flight_];
     nlohmann::json line = {{"id", notice.id}, {"state", notice.returned ? "returned" : "failed"}};
     if (notice.returned && notice.retry_after > 0) line["after_ms"] = (notice.retry_after + 999) / 1000;
     body += line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
   }
-  if (!post_) post_ = std::make_shared<Post>(*this);
-  post_->send(body);
+  if (!connection_) connection_ = std::make_shared<PostConnection>(*this);
+  connection_->send(body);
 }
 
-void NoticeSender::ended(bool taken) {
-  if (!post_->reusable()) {
-    post_->close();
-    post_.reset();
+void NoticeSender::on_post_ended(bool acknowledged) {
+  if (!connection_->reusable()) {
+    connection_->close();
+    connection_.reset();
   }
-  if (taken) {
-    for (; out_ > 0; --out_) {
-      sent_(queue_.front().id);
+  if (acknowledged) {
+    for (; in_flight_ > 0; --in_flight_) {
+      on_acknowledged_(queue_.front().id);
       queue_.pop_front();
     }
-    back_off_ = kFirstPause;
-    return proceed();
+    retry_delay_ = kMinRetryDelay;
+    return send_next();
   }
-  out_ = 0;
-  pause_.expires_after(back_off_);
-  back_off_ = std::min(2 * back_off_, kLongestPostPause);
-  pause_.async_wait([this](const Error& error) {
-    if (!error) proceed();
+  in_flight_ = 0;
+  retry_timer_.expires_after(retry_delay_);
+  retry_delay_ = std::min(2 * retry_delay_, kMaxPostRetryDelay);
+  retry_timer_.async_wait([this](const Error& error) {
+    if (!error) send_next();
   });
 }
 
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -32,8 +32,8 @@
   // `current` is called after each word: what there was to tell has been told. `list_known`: there is one to
   // start on.
   DiscoveryWatch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names,
-                 RevisionProvider revision, ListCallback told, std::function<void()> current,
-                 umberhoist::members::WatchScheduler pace, bool list_known);
+                 RevisionProvider revision, ListCallback on_list, std::function<void()> on_item,
+                 umberhoist::members::WatchScheduler scheduler, bool list_known);
   ~DiscoveryWatch();
 
   void set_address(const tcp::endpoint& address);
@@ -42,20 +42,20 @@
   class Stream;
 
   void connect();
-  void connect_after(Time pause);
-  void lost(const std::shared_ptr<Stream>& stream);
-  bool word(const std::string& list);  // empty: discovery lives; false: it is no list
+  void connect_after(Time delay);
+  void on_stream_ended(const std::shared_ptr<Stream>& stream);
+  bool handle_item(const std::string& list);  // empty: discovery lives; false: it is no list
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
   ListNames names_;
-  RevisionProvider revision_;
-  ListCallback told_;
-  std::function<void()> current_;
-  umberhoist::members::WatchScheduler pace_;
-  boost::asio::steady_timer pause_;
+  RevisionProvider get_revision_;
+  ListCallback on_list_;
+  std::function<void()> on_item_;
+  umberhoist::members::WatchScheduler scheduler_;
+  boost::asio::steady_timer retry_timer_;
   std::shared_ptr<Stream> stream_;
-  std::vector<std::shared_ptr<Stream>> old_;  // of addresses before, until they end
+  std::vector<std::shared_ptr<Stream>> old_streams_;  // of addresses before, until they end
 };
 
 // Sends notices, each again until it is answered with 204.
@@ -63,7 +63,8 @@
  public:
   using AcknowledgedCallback = std::function<void(const std::string& id)>;
 
-  NoticeSender(boost::asio::io_context& io, const tcp::endpoint& address, AcknowledgedCallback sent);
+  NoticeSender(boost::asio::io_context& io, const tcp::endpoint& address,
+               AcknowledgedCallback on_acknowledged);
   ~NoticeSender();
 
   void add(Notice notice);
@@ -72,19 +73,19 @@
   bool empty() const { return queue_.empty(); }
 
  private:
-  class Post;
+  class PostConnection;
 
-  void proceed();
-  void ended(bool taken);
+  void send_next();
+  void on_post_ended(bool acknowledged);
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
-  AcknowledgedCallback sent_;
-  boost::asio::steady_timer pause_;
-  std::chrono::milliseconds back_off_;
+  AcknowledgedCallback on_acknowledged_;
+  boost::asio::steady_timer retry_timer_;
+  std::chrono::milliseconds retry_delay_;
   std::deque<Notice> queue_;
-  size_t out_ = 0;  // notices at the front that are out
-  std::shared_ptr<Post> post_;
+  size_t in_flight_ = 0;  // notices at the front that are out
+  std::shared_ptr<PostConnection> connection_;
 };
 
 }  // namespace firspool::relay
--- a/relay/fleet_side.cpp
+++ b/relay/fleet_side.cpp
@@ -12,13 +12,13 @@
 using umberhoist::fleet::HealthReport;
 using umberhoist::fleet::TrialDuty;
 
-constexpr std::chrono::milliseconds kTick{100};
-constexpr Time kLately = 2'000'000;  // a call that was served so long ago tells that its destination is up
+constexpr std::chrono::milliseconds kTickInterval{100};
+constexpr Time kRecent = 2'000'000;  // a call that was served so long ago tells that its destination is up
 
-TrialAssignment::Duty by(TrialDuty scouts) {
-  return scouts == TrialDuty::kSelf    ? TrialAssignment::Duty::kSelf
-         : scouts == TrialDuty::kOther ? TrialAssignment::Duty::kOther
-                                       : TrialAssignment::Duty::kShared;
+TrialAssignment::Duty to_module_duty(TrialDuty duty) {
+  return duty == TrialDuty::kSelf    ? TrialAssignment::Duty::kSelf
+         : duty == TrialDuty::kOther ? TrialAssignment::Duty::kOther
+                                     : TrialAssignment::Duty::kShared;
 }
 
 }  // namespace
@@ -29,146 +29,148 @@
   tick();
 }
 
-void FleetAdapter::add_recovered(const Arrival& in) { waiting_[in.id] = in; }
+void FleetAdapter::add_recovered(const Arrival& arrival) { recovered_[arrival.id] = arrival; }
 
 void FleetAdapter::start_recovery(Time now) {
   std::vector<umberhoist::recovery::HeldMessage> held;
-  for (const auto& [number, in] : waiting_) {
-    const ClassSettings& c = settings_.classes[in.message_class];
-    const bool late = now > in.due - c.give_up + c.target;
-    held.push_back({number, in.destination, late ? c.worth * c.late_worth : c.worth, in.due,
-                    in.maybe_executed && c.effect == Effect::kUnsafe});
+  for (const auto& [number, arrival] : recovered_) {
+    const ClassSettings& settings = settings_.classes[arrival.message_class];
+    const bool overdue = now > arrival.due - settings.give_up + settings.target;
+    held.push_back({number, arrival.destination,
+                    overdue ? settings.worth * settings.late_worth : settings.worth, arrival.due,
+                    arrival.maybe_executed && settings.effect == Effect::kUnsafe});
   }
   const size_t count = held.size();
   umberhoist::recovery::RecoveryLimits limits;
   // The fleet's relays come one after the other: each at a moment of its own within two more seconds.
   limits.owner_head_start += static_cast<Time>(seed_ % 2'000'000);
-  return_.emplace(limits, std::move(held), now);
+  recovery_.emplace(limits, std::move(held), now);
   if (count > 0) std::fprintf(stderr, "recovery: %zu messages held, waiting for the fleet's word\n", count);
-  hand_over(now);
+  release_messages(now);
 }
 
 void FleetAdapter::on_message_ended(uint64_t number) {
-  if (return_) return_->remove(number);
-  waiting_.erase(number);
+  if (recovery_) recovery_->remove(number);
+  recovered_.erase(number);
 }
 
 void FleetAdapter::on_attempt_ended(int destination, Outcome outcome, Time now) {
   const bool served = outcome == Outcome::kOk || outcome == Outcome::kMalformed;
-  if (served) served_[destination] = now;
-  if (!return_) return;
-  served ? return_->on_served(destination, now) : return_->on_failed(destination, now);
-  hand_over(now);
+  if (served) last_served_[destination] = now;
+  if (!recovery_) return;
+  served ? recovery_->on_served(destination, now) : recovery_->on_failed(destination, now);
+  release_messages(now);
 }
 
-void FleetAdapter::on_destination_state(const DestinationState& memory) {
-  if (memory.outage_start == 0) {
-    outages_.erase(memory.destination);
+void FleetAdapter::on_destination_state(const DestinationState& state) {
+  if (state.outage_start == 0) {
+    outages_.erase(state.destination);
   } else {
-    outages_[memory.destination] = memory;
+    outages_[state.destination] = state;
   }
 }
 
 void FleetAdapter::tick() {
-  timer_.expires_after(kTick);
+  timer_.expires_after(kTickInterval);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
     const Time now = steady_now();
-    follow_version();
-    tell_fleet(now);
-    tell_module();
-    hand_over(now);
+    apply_current_version();
+    report_health(now);
+    notify_module();
+    release_messages(now);
     tick();
   });
 }
 
 // What the register holds is run, also by a relay that was away, whatever its own file says.
-void FleetAdapter::follow_version() {
+void FleetAdapter::apply_current_version() {
   const auto version = fleet_->version();
-  if (version.number == running_) return;
+  if (version.number == running_version_) return;
   if (!hooks_.apply_version(version.text)) {
-    if (text_ != version.text) {
+    if (version_text_ != version.text) {
       std::fprintf(stderr, "version %llu cannot be run here\n",
                    static_cast<unsigned long long>(version.number));
     }
-    text_ = version.text;
+    version_text_ = version.text;
     return;
   }
-  running_ = version.number;
-  text_ = version.text;
-  fleet_->report_running_version(running_);
-  std::fprintf(stderr, "runs version %llu\n", static_cast<unsigned long long>(running_));
+  running_version_ = version.number;
+  version_text_ = version.text;
+  fleet_->report_running_version(running_version_);
+  std::fprintf(stderr, "runs version %llu\n", static_cast<unsigned long long>(running_version_));
 }
 
-void FleetAdapter::tell_fleet(Time now) {
+void FleetAdapter::report_health(Time now) {
   const std::vector<int> held = outages_.empty() ? std::vector<int>{} : hooks_.open_destinations();
-  std::erase_if(served_, [&](const auto& entry) { return now - entry.second > kLately; });
-  std::map<int, HealthReport> sights;
-  for (const auto& [destination, memory] : outages_) {
-    HealthReport& sight = sights[destination];
-    sight.outage_start = memory.outage_start;
-    sight.recovery_start = memory.recovery_start;
-    sight.baseline_rate = memory.baseline_rate;
-    sight.can_send_trial =
-        memory.recovery_start == 0 && std::find(held.begin(), held.end(), destination) != held.end();
+  std::erase_if(last_served_, [&](const auto& entry) { return now - entry.second > kRecent; });
+  std::map<int, HealthReport> reports;
+  for (const auto& [destination, state] : outages_) {
+    HealthReport& report = reports[destination];
+    report.outage_start = state.outage_start;
+    report.recovery_start = state.recovery_start;
+    report.baseline_rate = state.baseline_rate;
+    report.can_send_trial =
+        state.recovery_start == 0 && std::find(held.begin(), held.end(), destination) != held.end();
   }
-  for (const auto& [destination, at] : served_) sights[destination].recently_served = true;
+  for (const auto& [destination, at] : last_served_) reports[destination].recently_served = true;
   std::vector<HealthReport> out;
-  for (auto& [destination, sight] : sights) {
-    sight.destination = destination;
-    out.push_back(sight);
+  for (auto& [destination, report] : reports) {
+    report.destination = destination;
+    out.push_back(report);
   }
   fleet_->report_health(std::move(out));
 }
 
-void FleetAdapter::tell_module() {
-  for (const auto& [destination, memory] : outages_) {
-    const TrialAssignment::Duty next =
-        memory.recovery_start == 0 ? by(fleet_->trial_duty(destination)) : TrialAssignment::Duty::kShared;
-    TrialAssignment::Duty& last = scouting_[destination];
+void FleetAdapter::notify_module() {
+  for (const auto& [destination, state] : outages_) {
+    const TrialAssignment::Duty next = state.recovery_start == 0
+                                           ? to_module_duty(fleet_->trial_duty(destination))
+                                           : TrialAssignment::Duty::kShared;
+    TrialAssignment::Duty& last = trial_duties_[destination];
     if (next != last) hooks_.post_event(TrialAssignment{destination, next});
     last = next;
   }
-  std::erase_if(scouting_, [&](const auto& entry) {
+  std::erase_if(trial_duties_, [&](const auto& entry) {
     if (outages_.contains(entry.first)) return false;
     if (entry.second != TrialAssignment::Duty::kShared)
       hooks_.post_event(TrialAssignment{entry.first, TrialAssignment::Duty::kShared});
     return true;
   });
-  for (const HealthReport& sight : fleet_->health_reports()) {
-    if (sight.recently_served && return_) return_->on_served_elsewhere(sight.destination);
-    auto& last = told_[sight.destination];
+  for (const HealthReport& report : fleet_->health_reports()) {
+    if (report.recently_served && recovery_) recovery_->on_served_elsewhere(report.destination);
+    auto& last = reported_outages_[report.destination];
     // Times that were told by way of ages shake a little; what matters is an outage or a return that is new.
-    const bool news = (sight.outage_start != 0 && std::abs(sight.outage_start - last.first) > kLately) ||
-                      (sight.recovery_start != 0) != (last.second != 0);
-    if (!news) continue;
-    last = {sight.outage_start, sight.recovery_start};
-    if (sight.outage_start != 0) {
-      hooks_.post_event(
-          PeerHealthReport{sight.destination, sight.outage_start, sight.recovery_start, sight.baseline_rate});
+    const bool is_new = (report.outage_start != 0 && std::abs(report.outage_start - last.first) > kRecent) ||
+                        (report.recovery_start != 0) != (last.second != 0);
+    if (!is_new) continue;
+    last = {report.outage_start, report.recovery_start};
+    if (report.outage_start != 0) {
+      hooks_.post_event(PeerHealthReport{report.destination, report.outage_start, report.recovery_start,
+                                         report.baseline_rate});
     }
   }
 }
 
-void FleetAdapter::hand_over(Time now) {
-  if (!return_) return;
-  if (fleet_->is_confirmed()) return_->on_fleet_ready(now);
+void FleetAdapter::release_messages(Time now) {
+  if (!recovery_) return;
+  if (fleet_->is_confirmed()) recovery_->on_fleet_ready(now);
   for (const int destination : hooks_.known_destinations())
-    return_->set_may_try(destination, fleet_->owns(destination));
-  const auto stage = return_->stage();
-  for (const uint64_t number : return_->release(now)) {
-    const auto it = waiting_.find(number);
-    if (it == waiting_.end()) continue;
+    recovery_->set_may_try(destination, fleet_->owns(destination));
+  const auto stage = recovery_->stage();
+  for (const uint64_t number : recovery_->release(now)) {
+    const auto it = recovered_.find(number);
+    if (it == recovered_.end()) continue;
     hooks_.post_event(it->second);
-    waiting_.erase(it);
+    recovered_.erase(it);
   }
-  if (stage == return_->stage()) return;
+  if (stage == recovery_->stage()) return;
   std::fprintf(stderr, "recovery: %s, %zu messages held\n",
-               return_->stage() == umberhoist::recovery::Stage::kComplete ? "over"
-               : return_->without_fleet()                                 ? "alone, on even parts"
-                                                                          : "with the fleet's word",
-               return_->remaining());
-  if (return_->stage() == umberhoist::recovery::Stage::kComplete) return_.reset();
+               recovery_->stage() == umberhoist::recovery::Stage::kComplete ? "over"
+               : recovery_->without_fleet()                                 ? "alone, on even parts"
+                                                                            : "with the fleet's word",
+               recovery_->remaining());
+  if (recovery_->stage() == umberhoist::recovery::Stage::kComplete) recovery_.reset();
 }
 
 }  // namespace firspool::relay
--- a/relay/fleet_side.h
+++ b/relay/fleet_side.h
@@ -41,24 +41,25 @@
 
  private:
   void tick();
-  void follow_version();
-  void tell_module();
-  void tell_fleet(Time now);
-  void hand_over(Time now);
+  void apply_current_version();
+  void notify_module();
+  void report_health(Time now);
+  void release_messages(Time now);
 
   const Settings& settings_;
   uint64_t seed_;
   std::unique_ptr<umberhoist::fleet::Fleet> fleet_;
   Hooks hooks_;
   boost::asio::steady_timer timer_;
-  std::map<int, TrialAssignment::Duty> scouting_;  // as the module was told
-  std::map<int, DestinationState> outages_;        // as the module told
-  std::map<int, Time> served_;                     // when a call was last served
-  std::map<int, std::pair<Time, Time>> told_;      // what others saw, as the module was told: out, back
-  std::map<uint64_t, Arrival> waiting_;
-  std::optional<umberhoist::recovery::StagedRecovery> return_;
-  uint64_t running_ = 0;
-  std::string text_;
+  std::map<int, TrialAssignment::Duty> trial_duties_;  // as the module was told
+  std::map<int, DestinationState> outages_;            // as the module told
+  std::map<int, Time> last_served_;                    // when a call was last served
+  std::map<int, std::pair<Time, Time>>
+      reported_outages_;  // what others saw, as the module was told: out, back
+  std::map<uint64_t, Arrival> recovered_;
+  std::optional<umberhoist::recovery::StagedRecovery> recovery_;
+  uint64_t running_version_ = 0;
+  std::string version_text_;
 };
 
 }  // namespace firspool::relay
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -35,8 +35,8 @@
 class WatchTest : public ::testing::Test {
  protected:
   // Takes the next watch that is opened, and says so much on it.
-  Socket take(const std::string& bytes) { return take(listener_, bytes); }
-  static Socket take(const Socket& listener, const std::string& bytes) {
+  Socket accept_watch(const std::string& bytes) { return accept_watch(listener_, bytes); }
+  static Socket accept_watch(const Socket& listener, const std::string& bytes) {
     Socket connection = listener.accept();
     EXPECT_TRUE(read_request(connection).has_value());
     EXPECT_TRUE(bytes.empty() || connection.send(bytes));
@@ -45,48 +45,48 @@
 
   // Plays the agent's part beside the watch until a revision was told; returns how long that took from when
   // the first was.
-  Time run(const std::function<void()>& agent, int64_t revision) {
-    std::thread part(agent);
+  Time run_until_revision(const std::function<void()>& agent_part, int64_t revision) {
+    std::thread agent(agent_part);
     Time first = 0;
     DiscoveryWatch watch(
         io_, {boost::asio::ip::address_v4::loopback(), listener_.port()}, {{"a"}, {"std"}},
-        [this] { return told_.empty() ? 0 : told_.back(); },
+        [this] { return revisions_.empty() ? 0 : revisions_.back(); },
         [&](const HostList& list) {
-          if (told_.empty()) first = steady_now();
-          told_.push_back(list.revision);
+          if (revisions_.empty()) first = steady_now();
+          revisions_.push_back(list.revision);
         },
         [] {}, {{}, 1}, true);
     watch_ = &watch;
-    while (told_.empty() || told_.back() != revision) io_.run_one();
-    part.join();
+    while (revisions_.empty() || revisions_.back() != revision) io_.run_one();
+    agent.join();
     return steady_now() - first;
   }
 
   boost::asio::io_context io_;
   Socket listener_ = Socket::listen();
   DiscoveryWatch* watch_ = nullptr;
-  std::vector<int64_t> told_;
+  std::vector<int64_t> revisions_;
 };
 
 // The watch falls silent, and the one that replaces it says nothing, or stops within its head. (What three
 // silences in a row add up to is WatchScheduler's test.)
 TEST_F(WatchTest, AWatchThatIsSilentAgainWhileItIsReplacedCostsLessThanAChangeMayTake) {
-  EXPECT_LT(run(
+  EXPECT_LT(run_until_revision(
                 [this] {
-                  const Socket first = take(kHead + chunk(list_text(1)));
-                  const Socket second = take("");
-                  const Socket third = take(kHead + chunk(list_text(2)));
+                  const Socket first = accept_watch(kHead + chunk(list_text(1)));
+                  const Socket second = accept_watch("");
+                  const Socket third = accept_watch(kHead + chunk(list_text(2)));
                 },
                 2),
             kMaxNotificationDelay);
 }
 
 TEST_F(WatchTest, AWatchThatStopsWithinItsHeadCostsLessThanAChangeMayTake) {
-  EXPECT_LT(run(
+  EXPECT_LT(run_until_revision(
                 [this] {
-                  const Socket first = take(kHead + chunk(list_text(1)));
-                  const Socket second = take(kHead.substr(0, 20));
-                  const Socket third = take(kHead + chunk(list_text(2)));
+                  const Socket first = accept_watch(kHead + chunk(list_text(1)));
+                  const Socket second = accept_watch(kHead.substr(0, 20));
+                  const Socket third = accept_watch(kHead + chunk(list_text(2)));
                 },
                 2),
             kMaxNotificationDelay);
@@ -94,55 +94,55 @@
 
 // Heartbeats without their lines' ends, or a list that never ends, are silence too.
 TEST_F(WatchTest, BytesThatAreNoWordAreSilence) {
-  EXPECT_LT(run(
+  EXPECT_LT(run_until_revision(
                 [this] {
-                  const Socket first = take(kHead + chunk(list_text(1)));
+                  const Socket first = accept_watch(kHead + chunk(list_text(1)));
                   pollfd next{listener_.fd(), POLLIN, 0};
                   while (::poll(&next, 1, 50) == 0 && first.send(chunk(" "))) continue;
-                  const Socket second = take(kHead + chunk(list_text(2)));
+                  const Socket second = accept_watch(kHead + chunk(list_text(2)));
                 },
                 2),
             kMaxNotificationDelay);
 }
 
 TEST_F(WatchTest, ReadsAnIndentedListInPieces) {
-  run(
+  run_until_revision(
       [this] {
-        Socket watch = take(kHead);
+        Socket watch = accept_watch(kHead);
         for (const char byte : list_text(1, 2) + "\n" + list_text(2, 4)) {
           EXPECT_TRUE(watch.send(chunk(std::string(1, byte))));
         }
       },
       2);
-  EXPECT_EQ(told_, (std::vector<int64_t>{1, 2}));
+  EXPECT_EQ(revisions_, (std::vector<int64_t>{1, 2}));
 }
 
 // A spoilt list is asked for anew at once, from what is known.
 TEST_F(WatchTest, ASpoiltListIsAskedForAgainAtOnce) {
-  std::string asked;
-  const Time took = run(
+  std::string request_line;
+  const Time took = run_until_revision(
       [&] {
-        const Socket first = take(kHead + chunk(list_text(1)) + chunk("{\"revision\":2,\"comp\n"));
+        const Socket first = accept_watch(kHead + chunk(list_text(1)) + chunk("{\"revision\":2,\"comp\n"));
         const Socket second =
-            take(kHead + chunk("{\"revision\":2,\"complete\":false,\"members\":[{\"id\":7}]}\n"));
+            accept_watch(kHead + chunk("{\"revision\":2,\"complete\":false,\"members\":[{\"id\":7}]}\n"));
         Socket third = listener_.accept();
-        asked = read_request(third)->request_line;
+        request_line = read_request(third)->request_line;
         EXPECT_TRUE(third.send(kHead + chunk(list_text(2))));
       },
       2);
   EXPECT_LT(took, 2'000'000) << "no silence was waited out";
-  EXPECT_NE(asked.find("index=1 "), std::string::npos) << asked;
+  EXPECT_NE(request_line.find("index=1 "), std::string::npos) << request_line;
 }
 
 TEST_F(WatchTest, AMovedDiscoveryIsHeardWhileTheOldOneIsSilent) {
   const Socket next = Socket::listen();
-  const Time took = run(
+  const Time took = run_until_revision(
       [&] {
-        const Socket first = take(kHead + chunk(list_text(1)));
+        const Socket first = accept_watch(kHead + chunk(list_text(1)));
         boost::asio::post(io_, [&] {
           watch_->set_address({boost::asio::ip::address_v4::loopback(), next.port()});
         });
-        const Socket second = take(next, kHead + chunk(list_text(2)));
+        const Socket second = accept_watch(next, kHead + chunk(list_text(2)));
       },
       2);
   EXPECT_LT(took, 2'000'000);
@@ -151,22 +151,22 @@
 // Down for as long as the operators' longest spell: asked in vain many times, it answers what it finds when
 // it is back, whose list holds what it got meanwhile.
 TEST_F(WatchTest, AnAgentThatReturnsAfterEightSecondsIsHeardSoon) {
-  constexpr Time kDown = 8'000'000;
-  Time back = 0;
-  run(
+  constexpr Time kDowntime = 8'000'000;
+  Time back_at = 0;
+  run_until_revision(
       [&] {
         const Time from = steady_now();
         std::vector<Socket> open;
-        open.push_back(take(kHead + chunk(list_text(1))));
-        while (steady_now() - from < kDown) open.push_back(take(""));
-        back = steady_now();
+        open.push_back(accept_watch(kHead + chunk(list_text(1))));
+        while (steady_now() - from < kDowntime) open.push_back(accept_watch(""));
+        back_at = steady_now();
         // Of those that are still open the newest is the one that waits for a word.
         EXPECT_TRUE(open.back().send(kHead + chunk(list_text(2))));
         pollfd next{listener_.fd(), POLLIN, 0};
-        if (::poll(&next, 1, 1000) > 0) open.push_back(take(kHead + chunk(list_text(2))));
+        if (::poll(&next, 1, 1000) > 0) open.push_back(accept_watch(kHead + chunk(list_text(2))));
       },
       2);
-  EXPECT_LT(steady_now() - back, 2'500'000);
+  EXPECT_LT(steady_now() - back_at, 2'500'000);
 }
 
 // A notice that got no answer is on its way a second time before it is late. The best of some tries, as this
@@ -179,7 +179,7 @@
     bool sent = false;
     NoticeSender notices(io, {boost::asio::ip::address_v4::loopback(), listener.port()},
                          [&](const std::string&) { sent = true; });
-    std::thread agent([&] {
+    std::thread agent_part([&] {
       Socket silent = listener.accept();
       EXPECT_TRUE(read_request(silent).has_value());
       Socket second = listener.accept();
@@ -190,7 +190,7 @@
     notices.add({"9b1f03aa5c7e2d41", false, 0});
     while (!sent) io.run_one();
     best = std::min(best, steady_now() - from);
-    agent.join();
+    agent_part.join();
   }
   EXPECT_LT(best, 300'000);
 }
