--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -18,22 +18,22 @@
 
 // Where the process itself may hold fewer descriptors than the configuration says, idle clients would take
 // those that the watch, the notices, the calls and the journal need.
-constexpr size_t kLeastDescriptors = 32;
+constexpr size_t kMinDescriptors = 32;
 
-firspool::relay::Config within_own_limit(firspool::relay::Config config) {
-  rlimit own{};
-  if (::getrlimit(RLIMIT_NOFILE, &own) != 0 || own.rlim_cur >= config.max_sockets) return config;
-  if (own.rlim_cur < kLeastDescriptors) {
-    throw std::invalid_argument("the process may hold " + std::to_string(own.rlim_cur) +
-                                " descriptors; expected " + std::to_string(kLeastDescriptors) + " or more");
+firspool::relay::Config with_process_limit(firspool::relay::Config config) {
+  rlimit limit{};
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= config.max_sockets) return config;
+  if (limit.rlim_cur < kMinDescriptors) {
+    throw std::invalid_argument("the process may hold " + std::to_string(limit.rlim_cur) +
+                                " descriptors; expected " + std::to_string(kMinDescriptors) + " or more");
   }
-  config.max_sockets = own.rlim_cur;
+  config.max_sockets = limit.rlim_cur;
   return config;
 }
 
 #ifdef UMBERHOIST_FLEET
 constexpr size_t kFleetDescriptors = 12;  // its listener, event loop, log, peers, folder, and one file read
-constexpr size_t kLeastSockets = 64;      // as the configuration's own least
+constexpr size_t kMinSockets = 64;        // as the configuration's own least
 #endif
 
 // A file that cannot be read whole or is not valid changes nothing.
@@ -60,17 +60,17 @@
   if (config.fleet_file.empty()) return nullptr;
 #ifdef UMBERHOIST_FLEET
   const auto fleet = umberhoist::fleet::load_config(config.fleet_file);
-  if (const std::string kept = umberhoist::fleet::load_saved_version(fleet); !kept.empty()) {
-    config = within_own_limit(firspool::relay::with_common_settings(config, kept));
+  if (const std::string version = umberhoist::fleet::load_saved_version(fleet); !version.empty()) {
+    config = with_process_limit(firspool::relay::with_common_settings(config, version));
   }
   // Its descriptors are the process's too.
-  const size_t own = fleet.max_connections + fleet.voters.size() + kFleetDescriptors;
-  if (config.max_sockets < own + kLeastSockets) {
+  const size_t fleet_descriptors = fleet.max_connections + fleet.voters.size() + kFleetDescriptors;
+  if (config.max_sockets < fleet_descriptors + kMinSockets) {
     throw std::invalid_argument(config.fleet_file + ":1: connections are too many for limits.sockets of " +
                                 std::to_string(config.max_sockets) + "; expected " +
-                                std::to_string(own + kLeastSockets) + " sockets or more");
+                                std::to_string(fleet_descriptors + kMinSockets) + " sockets or more");
   }
-  config.max_sockets -= own;
+  config.max_sockets -= fleet_descriptors;
   return umberhoist::fleet::join(io, fleet, config.seed);
 #else
   throw std::invalid_argument(config.fleet_file +
@@ -86,7 +86,7 @@
     std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is a write that fails, like any other
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
-    firspool::relay::Config config = within_own_limit(firspool::relay::load_config());
+    firspool::relay::Config config = with_process_limit(firspool::relay::load_config());
     std::unique_ptr<umberhoist::fleet::Fleet> fleet;
     try {
       fleet = join_fleet(io, config);
