--- a/limits/meter.cpp
+++ b/limits/meter.cpp
@@ -19,8 +19,8 @@
 namespace umberhoist::limits {
 namespace {
 
-// /proc files are read whole and by hand: this runs fifty times a second for each relay.
-std::string read_whole(const std::string& path) {
+// Uses read(2) directly, because it runs fifty times a second for each relay.
+std::string read_file(const std::string& path) {
   std::string out;
   const int file = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (file < 0) return out;
@@ -30,24 +30,24 @@
   return out;
 }
 
-std::string proc(pid_t pid, const char* name) { return "/proc/" + std::to_string(pid) + "/" + name; }
+std::string proc_path(pid_t pid, const char* name) { return "/proc/" + std::to_string(pid) + "/" + name; }
 
-// A line such as "VmHWM:     1234 kB"; 0 if there is none.
-size_t kilobytes(std::string_view status, std::string_view name) {
+// Returns the value of a line such as "VmHWM:     1234 kB" in bytes, or 0 if there is no such line.
+size_t size_field(std::string_view status, std::string_view name) {
   const size_t at = status.find(name);
   if (at == std::string_view::npos) return 0;
   return static_cast<size_t>(std::strtoull(status.data() + at + name.size(), nullptr, 10)) * 1024;
 }
 
-struct Stat {
+struct ProcessStat {
   pid_t parent = 0;
   pid_t session = 0;
   char state = '?';
 };
 
-Stat read_stat(pid_t pid) {
-  Stat out;
-  const std::string text = read_whole(proc(pid, "stat"));
+ProcessStat read_stat(pid_t pid) {
+  ProcessStat out;
+  const std::string text = read_file(proc_path(pid, "stat"));
   const size_t name = text.rfind(')');
   if (name == std::string::npos) return out;
   int parent = 0, group = 0, session = 0;
@@ -65,33 +65,35 @@
   return static_cast<Time>(t.tv_sec) * kSecond + t.tv_nsec / 1000;
 }
 
-// A process that has forked and not yet become its own program still has the memory of this one.
-bool is_still_us(pid_t pid) {
+// Between fork and exec a child still has the memory of this process, which must not be counted as the
+// relay's.
+bool has_not_execed(pid_t pid) {
   char own[4096], other[4096];
   const ssize_t a = ::readlink("/proc/self/exe", own, sizeof own);
-  const ssize_t b = ::readlink(proc(pid, "exe").c_str(), other, sizeof other);
+  const ssize_t b = ::readlink(proc_path(pid, "exe").c_str(), other, sizeof other);
   return b <= 0 || (a == b && std::memcmp(own, other, static_cast<size_t>(a)) == 0);
 }
 
-struct Folder {
-  size_t counted = 0;
-  size_t bytes = 0;
+struct FolderUsage {
+  size_t block_bytes = 0;
+  size_t allocated_bytes = 0;
   size_t files = 0;
 };
 
-Folder read_folder(const std::filesystem::path& path) {
-  Folder out;
+FolderUsage measure_folder(const std::filesystem::path& path) {
+  FolderUsage out;
   std::error_code error;
-  using It = std::filesystem::recursive_directory_iterator;
-  for (It it(path, std::filesystem::directory_options::skip_permission_denied, error), end;
+  using Iterator = std::filesystem::recursive_directory_iterator;
+  for (Iterator it(path, std::filesystem::directory_options::skip_permission_denied, error), end;
        !error && it != end; it.increment(error)) {
-    std::error_code gone;  // it may go while it is looked at
-    if (!it->is_regular_file(gone) || gone) continue;
-    const auto size = it->file_size(gone);
-    if (gone) continue;
-    struct stat blocks {};  // what a file occupies: a hole takes no memory
-    if (::lstat(it->path().c_str(), &blocks) == 0) out.bytes += static_cast<size_t>(blocks.st_blocks) * 512;
-    out.counted += block_rounded(size);
+    std::error_code removed;  // the file may be removed meanwhile
+    if (!it->is_regular_file(removed) || removed) continue;
+    const auto size = it->file_size(removed);
+    if (removed) continue;
+    struct stat status {};  // allocated blocks, not the size: holes take no memory
+    if (::lstat(it->path().c_str(), &status) == 0)
+      out.allocated_bytes += static_cast<size_t>(status.st_blocks) * 512;
+    out.block_bytes += block_rounded(size);
     ++out.files;
   }
   return out;
@@ -106,15 +108,16 @@
   processes_[relay] = 0;
 }
 
-bool ResourceMeter::is_own(pid_t pid) const {
-  const Stat stat = read_stat(pid);
+bool ResourceMeter::belongs_to_relay(pid_t pid) const {
+  const ProcessStat stat = read_stat(pid);
   if (stat.session == relay_ || processes_.contains(stat.parent)) return true;
   if (stat.parent != ::getpid()) return false;
-  // Left behind before it was seen: it still has the environment that its relay was given.
-  return read_whole(proc(pid, "environ")).find("PROXY_STATE=" + state_.string() + '\0') != std::string::npos;
+  // Orphaned before it was first seen: recognized by the environment that the relay was started with.
+  return read_file(proc_path(pid, "environ")).find("PROXY_STATE=" + state_.string() + '\0') !=
+         std::string::npos;
 }
 
-void ResourceMeter::look_for_processes() {
+void ResourceMeter::scan_processes() {
   DIR* all = ::opendir("/proc");
   if (all == nullptr) return;
   std::set<pid_t> seen;
@@ -123,23 +126,23 @@
     if (pid > 0) seen.insert(pid);
   }
   ::closedir(all);
-  std::erase_if(foreign_, [&](pid_t pid) { return !seen.contains(pid); });
-  for (bool found = true; found;) {  // a child of a child that was found in this very look
+  std::erase_if(other_processes_, [&](pid_t pid) { return !seen.contains(pid); });
+  for (bool found = true; found;) {  // repeat to find children of processes found in this scan
     found = false;
     for (const pid_t pid : seen) {
-      if (processes_.contains(pid) || foreign_.contains(pid)) continue;
-      if (is_own(pid)) {
+      if (processes_.contains(pid) || other_processes_.contains(pid)) continue;
+      if (belongs_to_relay(pid)) {
         processes_[pid] = 0;
         found = true;
       }
     }
   }
   for (const pid_t pid : seen) {
-    if (!processes_.contains(pid)) foreign_.insert(pid);
+    if (!processes_.contains(pid)) other_processes_.insert(pid);
   }
   for (auto it = processes_.begin(); it != processes_.end();) {
     if (seen.contains(it->first) || it->first == relay_) {
-      // Those that were adopted are ours to bury; the relay itself is whoever's that started it.
+      // Adopted processes are reaped here; the relay itself is reaped by whoever started it.
       if (it->first != relay_ && read_stat(it->first).state == 'Z') ::waitpid(it->first, nullptr, WNOHANG);
       ++it;
     } else {
@@ -156,38 +159,38 @@
 }
 
 void ResourceMeter::signal(int number) {
-  look_for_processes();
+  scan_processes();
   for (const auto& [pid, cpu] : processes_) ::kill(pid, number);
 }
 
 void ResourceMeter::add_memory(ResourceUsage& out) const {
-  size_t alone = 0;
-  int living = 0;
+  size_t resident_sum = 0;
+  int process_count = 0;
   for (const auto& [pid, cpu] : processes_) {
-    if (is_still_us(pid)) continue;
-    const std::string status = read_whole(proc(pid, "status"));
-    const size_t resident = kilobytes(status, "VmRSS:");
+    if (has_not_execed(pid)) continue;
+    const std::string status = read_file(proc_path(pid, "status"));
+    const size_t resident = size_field(status, "VmRSS:");
     if (resident == 0) continue;
-    ++living;
-    alone += resident;
-    out.peak_resident = std::max(out.peak_resident, kilobytes(status, "VmHWM:"));
+    ++process_count;
+    resident_sum += resident;
+    out.peak_resident = std::max(out.peak_resident, size_field(status, "VmHWM:"));
   }
-  out.resident = alone;
-  if (living < 2) return;
-  // Pages that they share stand in each one's count; this costs more and counts them once.
-  size_t shared_once = 0;
+  out.resident = resident_sum;
+  if (process_count < 2) return;
+  // Shared pages are in the resident size of each process; Pss counts them once but costs more to read.
+  size_t proportional_sum = 0;
   for (const auto& [pid, cpu] : processes_)
-    shared_once += kilobytes(read_whole(proc(pid, "smaps_rollup")), "\nPss:");
-  if (shared_once > 0) out.resident = std::min(alone, shared_once);
+    proportional_sum += size_field(read_file(proc_path(pid, "smaps_rollup")), "\nPss:");
+  if (proportional_sum > 0) out.resident = std::min(resident_sum, proportional_sum);
 }
 
-void ResourceMeter::add_descriptors() {
-  last_.descriptors = 0;
-  last_.sockets = 0;
+void ResourceMeter::count_descriptors() {
+  last_usage_.descriptors = 0;
+  last_usage_.sockets = 0;
   std::set<std::string> sockets;
   for (const auto& [pid, cpu] : processes_) {
-    if (is_still_us(pid)) continue;
-    const std::string folder = proc(pid, "fd");
+    if (has_not_execed(pid)) continue;
+    const std::string folder = proc_path(pid, "fd");
     DIR* all = ::opendir(folder.c_str());
     if (all == nullptr) continue;
     int count = 0;
@@ -200,31 +203,31 @@
         sockets.emplace(target, static_cast<size_t>(size));
     }
     ::closedir(all);
-    last_.descriptors = std::max(last_.descriptors, count);
+    last_usage_.descriptors = std::max(last_usage_.descriptors, count);
   }
-  last_.sockets = static_cast<int>(sockets.size());
+  last_usage_.sockets = static_cast<int>(sockets.size());
 }
 
-void ResourceMeter::read_folders(Time now) {
+void ResourceMeter::measure_folders(Time now) {
   const Time begin = steady_now();
-  const Folder state = read_folder(state_);
-  last_.disk = state.counted;
-  last_.files = state.files;
-  last_.temporary = read_folder(temporary_).bytes;
-  read_next_ = now + std::max(kFolderScanInterval, kFolderScanIdleFactor * (steady_now() - begin));
+  const FolderUsage state = measure_folder(state_);
+  last_usage_.disk = state.block_bytes;
+  last_usage_.files = state.files;
+  last_usage_.temporary = measure_folder(temporary_).allocated_bytes;
+  next_folder_scan_ = now + std::max(kFolderScanInterval, kFolderScanIdleFactor * (steady_now() - begin));
 }
 
 ResourceUsage ResourceMeter::sample(Time now) {
-  if (now - looked_ >= kProcessScanInterval) {
-    looked_ = now;
-    look_for_processes();
+  if (now - last_process_scan_ >= kProcessScanInterval) {
+    last_process_scan_ = now;
+    scan_processes();
   }
-  if (now >= read_next_) read_folders(now);
-  if (now - counted_ >= kDescriptorCountInterval) {
-    counted_ = now;
-    add_descriptors();
+  if (now >= next_folder_scan_) measure_folders(now);
+  if (now - last_descriptor_count_ >= kDescriptorCountInterval) {
+    last_descriptor_count_ = now;
+    count_descriptors();
   }
-  ResourceUsage out = last_;
+  ResourceUsage out = last_usage_;
   add_memory(out);
   for (auto& [pid, cpu] : processes_) cpu = std::max(cpu, process_cpu(pid));
   out.cpu = cpu();
--- a/limits/meter.h
+++ b/limits/meter.h
@@ -1,11 +1,12 @@
-// Measures a relay for the judge: its processes as /proc shows them, and the files of its two folders.
+// Measures the resource usage of a relay: its processes through /proc, and the files in its two folders.
 //
-// Its processes are the one that was started, its descendants, whoever shares its session, and what has been
-// seen as one of these before (a helper may leave its parent and its session behind). `adopt_orphans` makes
-// the caller the parent of those left behind, so that they are not lost to init.
+// A process belongs to the relay if it is the one that was started, a descendant of it, a member of its
+// session, or was recognized as one of these before (a helper may leave both its parent and its session).
+// `adopt_orphans` makes the calling process the parent of orphaned helpers, so that they are not re-parented
+// to init and lost.
 //
-// A burst shorter than the time between two samples still shows: the kernel keeps the most that a process has
-// had resident (VmHWM). What a helper that lives for less than kLookForProcesses takes is not seen.
+// A memory burst shorter than the time between two samples is still seen, because the kernel keeps the highest
+// resident size of each process (VmHWM). A helper that lives for less than kProcessScanInterval may be missed.
 #pragma once
 
 #include <sys/types.h>
@@ -19,38 +20,39 @@
 
 namespace umberhoist::limits {
 
-void adopt_orphans();  // once, for this process
+// Makes this process a child subreaper. Call once.
+void adopt_orphans();
 
 class ResourceMeter {
  public:
   static constexpr Time kProcessScanInterval = 40 * kMillisecond;
   static constexpr Time kDescriptorCountInterval = 50 * kMillisecond;
   static constexpr Time kFolderScanInterval = 20 * kMillisecond;
-  static constexpr int kFolderScanIdleFactor =
-      20;  // reading folders may take one part in so many of the time
+  static constexpr int kFolderScanIdleFactor = 20;  // pause after a folder scan, in multiples of its duration
 
   ResourceMeter(pid_t relay, std::filesystem::path state, std::filesystem::path temporary);
 
   ResourceUsage sample(Time now);
-  Time cpu() const;         // nanosecond clocks of its processes, in microseconds; cheap
-  void signal(int number);  // to all its processes
+  // CPU time of all its processes from their CPU clocks, in microseconds. Cheaper than `sample`.
+  Time cpu() const;
+  void signal(int number);  // sends a signal to all its processes
   const std::map<pid_t, Time>& processes() const { return processes_; }
 
  private:
-  void look_for_processes();
-  bool is_own(pid_t pid) const;
+  void scan_processes();
+  bool belongs_to_relay(pid_t pid) const;
   void add_memory(ResourceUsage& out) const;
-  void add_descriptors();
-  void read_folders(Time now);
+  void count_descriptors();
+  void measure_folders(Time now);
 
   pid_t relay_;
   std::filesystem::path state_;
   std::filesystem::path temporary_;
-  std::map<pid_t, Time> processes_;  // its own, and the CPU each had when last seen
-  std::set<pid_t> foreign_;          // looked at, and not its own
-  Time ended_cpu_ = 0;               // of those that have ended
-  Time looked_ = 0, counted_ = 0, read_ = 0, read_next_ = 0;
-  ResourceUsage last_;
+  std::map<pid_t, Time> processes_;  // the relay's, with the CPU time of each when last seen
+  std::set<pid_t> other_processes_;  // examined and found not to belong to the relay
+  Time ended_cpu_ = 0;               // CPU time of processes that have exited
+  Time last_process_scan_ = 0, last_descriptor_count_ = 0, last_folder_scan_ = 0, next_folder_scan_ = 0;
+  ResourceUsage last_usage_;
 };
 
 }  // namespace umberhoist::limits
--- a/tests/limits/judge_test.cpp
+++ b/tests/limits/judge_test.cpp
@@ -1,5 +1,5 @@
-// The judge of a relay's limits, in made-up time: each limit on both sides of its boundary, growth against
-// what is normal, and the quota of a core.
+// Unit tests of LimitMonitor and CpuQuota with simulated time: each limit on both sides of its boundary,
+// leaks against normal memory curves, and the CPU quota.
 #include "limits/judge.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 constexpr size_t kMb = 1'000'000;
 
-ResourceUsage of_memory(size_t resident, size_t peak = 0, size_t temporary = 0) {
+ResourceUsage memory_usage(size_t resident, size_t peak = 0, size_t temporary = 0) {
   ResourceUsage out;
   out.resident = resident;
   out.peak_resident = peak;
@@ -24,7 +24,7 @@
 
 TEST(Limits, EachIsPassedOnlyOverIt) {
   const ResourceLimits limits{100 * kMb, 3 * kMb, 64, 50};
-  struct At {
+  struct Case {
     const char* limit;
     ResourceUsage within, over;
   };
@@ -35,20 +35,22 @@
   descriptors_over.descriptors = 65;
   sockets.sockets = 50;
   sockets_over.sockets = 51;
-  for (const At& at :
-       {At{"memory", of_memory(100 * kMb), of_memory(100 * kMb + 1)},
-        At{"memory", of_memory(60 * kMb, 0, 40 * kMb), of_memory(60 * kMb, 0, 40 * kMb + 1)},
-        At{"memory", of_memory(kMb, 100 * kMb), of_memory(kMb, 100 * kMb + 1)}, At{"disk", disk, disk_over},
-        At{"descriptors", descriptors, descriptors_over}, At{"sockets", sockets, sockets_over}}) {
-    LimitMonitor judge(limits);
-    EXPECT_FALSE(judge.add_sample(kSecond, at.within)) << at.limit;
-    const auto exceeded = judge.add_sample(2 * kSecond, at.over);
-    ASSERT_TRUE(exceeded) << at.limit;
-    EXPECT_EQ(exceeded->limit, at.limit);
-    EXPECT_EQ(exceeded->recent_samples.size(), 2u) << "what was measured before it, and itself";
-    EXPECT_FALSE(judge.add_sample(3 * kSecond, at.over)) << "said once in a process's life";
-    judge.on_process_started(4 * kSecond);
-    EXPECT_TRUE(judge.add_sample(5 * kSecond, at.over));
+  for (const Case& c :
+       {Case{"memory", memory_usage(100 * kMb), memory_usage(100 * kMb + 1)},
+        Case{"memory", memory_usage(60 * kMb, 0, 40 * kMb), memory_usage(60 * kMb, 0, 40 * kMb + 1)},
+        Case{"memory", memory_usage(kMb, 100 * kMb), memory_usage(kMb, 100 * kMb + 1)},
+        Case{"disk", disk, disk_over}, Case{"descriptors", descriptors, descriptors_over},
+        Case{"sockets", sockets, sockets_over}}) {
+    LimitMonitor monitor(limits);
+    EXPECT_FALSE(monitor.add_sample(kSecond, c.within)) << c.limit;
+    const auto exceeded = monitor.add_sample(2 * kSecond, c.over);
+    ASSERT_TRUE(exceeded) << c.limit;
+    EXPECT_EQ(exceeded->limit, c.limit);
+    EXPECT_EQ(exceeded->recent_samples.size(), 2u)
+        << "the sample before the violation, and the violating one";
+    EXPECT_FALSE(monitor.add_sample(3 * kSecond, c.over)) << "reported once for each process";
+    monitor.on_process_started(4 * kSecond);
+    EXPECT_TRUE(monitor.add_sample(5 * kSecond, c.over));
   }
 }
 
@@ -60,23 +62,23 @@
 }
 
 TEST(Limits, TheCurveIsShortAndEndsWithTheBreach) {
-  LimitMonitor judge({100 * kMb, 0, 0, 0});
-  for (int i = 0; i < 1000; ++i) EXPECT_FALSE(judge.add_sample(i * 20 * kMillisecond, of_memory(kMb)));
-  const auto exceeded = judge.add_sample(1000 * 20 * kMillisecond, of_memory(200 * kMb));
+  LimitMonitor monitor({100 * kMb, 0, 0, 0});
+  for (int i = 0; i < 1000; ++i) EXPECT_FALSE(monitor.add_sample(i * 20 * kMillisecond, memory_usage(kMb)));
+  const auto exceeded = monitor.add_sample(1000 * 20 * kMillisecond, memory_usage(200 * kMb));
   ASSERT_TRUE(exceeded);
   EXPECT_LE(exceeded->recent_samples.size(), LimitMonitor::kMaxHistoryLines);
   EXPECT_NE(exceeded->recent_samples.back().find("resident 200.0 MB"), std::string::npos)
       << exceeded->recent_samples.back();
 }
 
-// One run of a relay: memory at each tenth of a second as a function of the time in seconds.
+// Runs a monitor over `seconds`, sampling `memory` (MB as a function of time in seconds) ten times a second.
 template <class Memory>
-MemoryGrowth grown(double seconds, Memory memory) {
-  LimitMonitor judge({});
+MemoryGrowth growth_of(double seconds, Memory memory) {
+  LimitMonitor monitor({});
   for (int i = 0; i < static_cast<int>(seconds * 10); ++i) {
-    judge.add_sample(i * 100 * kMillisecond, of_memory(static_cast<size_t>(memory(i / 10.0) * 1e6)));
+    monitor.add_sample(i * 100 * kMillisecond, memory_usage(static_cast<size_t>(memory(i / 10.0) * 1e6)));
   }
-  return judge.growth();
+  return monitor.growth();
 }
 
 TEST(Growth, ALeakIsToldFromWhatIsNormal) {
@@ -98,40 +100,41 @@
            {"a slow leak", true, [&](double t) { return 20 + 0.12 * t + n(); }},
            {"a leak under waves", true, [&](double t) { return 30 + 6 * std::sin(t) + 0.2 * t + n(); }},
            {"a leak in steps", true, [&](double t) { return 20 + 3 * std::floor(t / 7) + n(); }}}) {
-    const MemoryGrowth growth = grown(120, s.memory);
+    const MemoryGrowth growth = growth_of(120, s.memory);
     EXPECT_TRUE(growth.evaluated) << s.name;
     EXPECT_EQ(growth.is_leak, s.leak)
-        << s.name << ": " << growth.mb << " MB, " << growth.increases << " rises";
+        << s.name << ": " << growth.mb << " MB, " << growth.increases << " increases";
   }
 }
 
 TEST(Growth, AShortRunSaysNothing) {
-  EXPECT_FALSE(grown(59, [](double t) { return 20 + 5 * t; }).evaluated);
-  EXPECT_TRUE(grown(61, [](double t) { return 20 + 5 * t; }).evaluated);
+  EXPECT_FALSE(growth_of(59, [](double t) { return 20 + 5 * t; }).evaluated);
+  EXPECT_TRUE(growth_of(61, [](double t) { return 20 + 5 * t; }).evaluated);
 }
 
-TEST(Growth, ALongRunIsJudgedFromAsMuchAsAShortOne) {  // what is kept of it is bounded
-  const MemoryGrowth growth = grown(20'000, [](double t) { return 20 + t / 600; });
+// The number of stored minima is bounded, so a long run is evaluated from merged ones.
+TEST(Growth, ALongRunIsJudgedFromAsMuchAsAShortOne) {
+  const MemoryGrowth growth = growth_of(20'000, [](double t) { return 20 + t / 600; });
   EXPECT_TRUE(growth.is_leak);
   EXPECT_NEAR(growth.mb_per_minute, 0.1, 0.01);
 }
 
-// A process that would use the whole core gets its share, also where it is looked at late.
+// A process that would use the whole core gets its share, also when it is checked only at long intervals.
 TEST(Quota, HoldsAProcessToItsShareOfACore) {
-  for (const Time look : {Time{1000}, Time{5000}, Time{23'000}}) {
+  for (const Time interval : {Time{1000}, Time{5000}, Time{23'000}}) {
     CpuQuota quota(0.25);
     Time cpu = 0;
-    bool stands = false;
+    bool paused = false;
     const Time end = 20 * kSecond;
-    for (Time now = kSecond; now < kSecond + end; now += look) {
-      if (!stands) cpu += look;
-      stands = quota.must_pause(now, cpu);
+    for (Time now = kSecond; now < kSecond + end; now += interval) {
+      if (!paused) cpu += interval;
+      paused = quota.must_pause(now, cpu);
     }
-    EXPECT_NEAR(static_cast<double>(cpu) / static_cast<double>(end), 0.25, 0.02) << look;
+    EXPECT_NEAR(static_cast<double>(cpu) / static_cast<double>(end), 0.25, 0.02) << interval;
   }
-  CpuQuota unbound(0);
-  EXPECT_FALSE(unbound.is_limited());
-  EXPECT_FALSE(unbound.must_pause(kSecond, kSecond));
+  CpuQuota unlimited(0);
+  EXPECT_FALSE(unlimited.is_limited());
+  EXPECT_FALSE(unlimited.must_pause(kSecond, kSecond));
 }
 
 TEST(Quota, AnIdleTimeIsNotSavedUp) {
--- a/tests/limits/meter_test.cpp
+++ b/tests/limits/meter_test.cpp
@@ -1,4 +1,4 @@
-// The meter against real processes of this test's own.
+// ResourceMeter against real child processes.
 #include "limits/meter.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,8 @@
   std::filesystem::path path;
 };
 
-// A program that does what a relay might, says so by a byte, and stays.
+// Runs the helper program with `role` in a session of its own, and waits until it reports readiness with a
+// byte on a pipe. The process is killed by the destructor.
 class Child {
  public:
   Child(const std::string& role, const std::filesystem::path& state) {
@@ -44,7 +45,7 @@
     }
     ::close(ends[1]);
     char byte = 0;
-    done_ = ::read(ends[0], &byte, 1) == 1;
+    ready_ = ::read(ends[0], &byte, 1) == 1;
     ::close(ends[0]);
   }
   ~Child() {
@@ -52,17 +53,17 @@
     ::waitpid(pid_, nullptr, 0);
   }
   pid_t pid() const { return pid_; }
-  bool done() const { return done_; }
+  bool ready() const { return ready_; }
 
  private:
   pid_t pid_ = -1;
-  bool done_ = false;
+  bool ready_ = false;
 };
 
-// Until it holds, or for a generous while.
-bool becomes(const std::function<bool()>& holds) {
+// Polls `condition` for up to 30 s; false if it never became true.
+bool eventually(const std::function<bool()>& condition) {
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-  while (!holds()) {
+  while (!condition()) {
     if (std::chrono::steady_clock::now() > deadline) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
@@ -72,7 +73,7 @@
 TEST(Meter, SeesARelayThatAllocates300MbAndFreesThemWithin50Ms) {
   const Folder folder;
   const Child child("burst", folder.path / "state");
-  ASSERT_TRUE(child.done());  // all is freed again
+  ASSERT_TRUE(child.ready());  // by now the memory has been freed again
   ResourceMeter meter(child.pid(), folder.path / "state", folder.path / "tmp");
   const ResourceUsage usage = meter.sample(steady_now());
   EXPECT_LT(usage.resident, 100 * kMb);
@@ -83,17 +84,17 @@
   const Folder folder;
   adopt_orphans();
   const Child child("helpers", folder.path / "state");
-  ASSERT_TRUE(child.done());
+  ASSERT_TRUE(child.ready());
   ResourceMeter meter(child.pid(), folder.path / "state", folder.path / "tmp");
-  EXPECT_TRUE(becomes([&] {  // descriptors are counted less often than memory
+  EXPECT_TRUE(eventually([&] {  // descriptors are counted less often than memory
     const ResourceUsage now = meter.sample(steady_now());
     return now.resident > 95 * kMb && now.sockets > 19;
   }));
   const ResourceUsage usage = meter.sample(steady_now());
   EXPECT_EQ(usage.processes, 3);
-  EXPECT_LT(usage.resident, 160 * kMb) << "what they share counts once";
+  EXPECT_LT(usage.resident, 160 * kMb) << "shared pages count once";
   meter.signal(SIGKILL);
-  EXPECT_TRUE(becomes([&] { return meter.sample(steady_now()).resident == 0; }));
+  EXPECT_TRUE(eventually([&] { return meter.sample(steady_now()).resident == 0; }));
 }
 
 TEST(Meter, CountsFoldersAsThePlatformDoes) {
@@ -117,7 +118,7 @@
   ResourceMeter meter(child.pid(), folder.path / "state", folder.path / "tmp");
   EXPECT_GT(meter.sample(steady_now()).resident, 0u);
   ::kill(child.pid(), SIGKILL);
-  EXPECT_TRUE(becomes([&] { return meter.sample(steady_now()).resident == 0; }));
+  EXPECT_TRUE(eventually([&] { return meter.sample(steady_now()).resident == 0; }));
 }
 
 }  // namespace
