--- a/rehearsal/plan.cpp
+++ b/rehearsal/plan.cpp
@@ -9,11 +9,12 @@
 namespace umberhoist::rehearsal {
 namespace {
 
-enum Purpose : uint64_t { kPartners = 1, kArrivals, kEvents, kTenants };
+enum Stream : uint64_t { kPartnerStream = 1, kArrivalStream, kEventStream, kTenantStream };
 
-Time micro(double seconds) { return static_cast<Time>(std::llround(seconds * 1e6)); }
+Time to_microseconds(double seconds) { return static_cast<Time>(std::llround(seconds * 1e6)); }
 
-// Kinds by their shares, the leaning ones towards the head of the order of sizes.
+// Returns the kind of each partner, in order of falling traffic. The numbers follow the shares of the kinds;
+// `lean` moves the partners of a kind towards the head or the tail.
 std::vector<int> draw_kinds(const Scenario& s, Random& random) {
   double shares = 0;
   for (const KindSpec& kind : s.kinds) shares += kind.share;
@@ -34,18 +35,18 @@
   return out;
 }
 
-bool goes_to(const Scenario& s, const ClassSpec& c, int kind) {
+bool accepts_class(const Scenario& s, const ClassSpec& c, int kind) {
   return c.kinds.empty() || std::find(c.kinds.begin(), c.kinds.end(), s.kinds[kind].name) != c.kinds.end();
 }
 
-// For each class, the partners that it goes to, as a running sum of their shares.
+// For each class, the cumulative distribution of its messages over the partners.
 std::vector<std::vector<double>> class_weights(const Scenario& s, const std::vector<PartnerPlan>& partners) {
   std::vector<std::vector<double>> out;
   for (const ClassSpec& c : s.classes) {
     std::vector<double> sums;
     double sum = 0;
     for (const PartnerPlan& partner : partners) {
-      if (goes_to(s, c, partner.kind)) sum += std::pow(partner.number + 1, -s.zipf);
+      if (accepts_class(s, c, partner.kind)) sum += std::pow(partner.number + 1, -s.zipf);
       sums.push_back(sum);
     }
     if (sum <= 0) {
@@ -70,25 +71,26 @@
   }
   for (PartnerPlan& p : partners) {
     const KindSpec& kind = s.kinds[p.kind];
-    const double full = p.traffic * s.load.rate * s.load.full;  // calls a second at full load
-    const double busy = std::min(1.0, p.traffic * static_cast<double>(partners.size()) / 2);
-    p.endpoints =
-        static_cast<int>(std::lround(kind.endpoints.low + (kind.endpoints.high - kind.endpoints.low) *
-                                                              std::min(busy, random.unit() + busy / 2)));
+    const double full_load_rate = p.traffic * s.load.rate * s.load.full;  // calls per second at full load
+    const double load_share = std::min(1.0, p.traffic * static_cast<double>(partners.size()) / 2);
+    p.endpoints = static_cast<int>(
+        std::lround(kind.endpoints.low + (kind.endpoints.high - kind.endpoints.low) *
+                                             std::min(load_share, random.unit() + load_share / 2)));
     p.endpoints = std::max(1, p.endpoints);
     p.mean_service_time = static_cast<Time>(random.between(kind.service_ms.low, kind.service_ms.high) * 1e3);
     p.cv = kind.cv;
-    const double wanted = std::max(kind.least_rate, full * kind.spare);
-    p.concurrency = std::max(
-        p.endpoints, static_cast<int>(std::ceil(wanted * static_cast<double>(p.mean_service_time) / 1e6)));
+    const double wanted_rate = std::max(kind.least_rate, full_load_rate * kind.spare);
+    p.concurrency =
+        std::max(p.endpoints,
+                 static_cast<int>(std::ceil(wanted_rate * static_cast<double>(p.mean_service_time) / 1e6)));
     p.capacity = p.concurrency / (static_cast<double>(p.mean_service_time) / 1e6);
     p.limit = kind.limit;
     if (p.limit != Limit::kNone) {
-      p.limit_rate = std::min(p.capacity, std::max(kind.least_rate, full * kind.headroom));
+      p.limit_rate = std::min(p.capacity, std::max(kind.least_rate, full_load_rate * kind.headroom));
     }
-    p.limit_window = micro(random.between(kind.span_s.low, kind.span_s.high));
+    p.limit_window = to_microseconds(random.between(kind.span_s.low, kind.span_s.high));
     p.advertised_rate = p.limit == Limit::kNone ? p.capacity : p.limit_rate;
-    p.max_queue_wait = micro(kind.queue_s);
+    p.max_queue_wait = to_microseconds(kind.queue_s);
     p.seed = random.bits();
   }
 }
@@ -104,16 +106,16 @@
     }
     return rate;
   };
-  double most = s.load.rate * (1 + s.load.swing);
-  for (const BurstSpec& burst : s.load.bursts) most *= std::max(1.0, burst.factor);
+  double max_rate = s.load.rate * (1 + s.load.swing);
+  for (const BurstSpec& burst : s.load.bursts) max_rate *= std::max(1.0, burst.factor);
   const auto add = [&](double t, int partner) {
     double pick = random.unit() * shares;
     size_t c = 0;
     while (c + 1 < s.classes.size() && (pick -= s.classes[c].share) >= 0) ++c;
     ArrivalPlan out;
-    out.at = micro(t);
+    out.at = to_microseconds(t);
     out.message_class = static_cast<uint16_t>(c);
-    if (partner >= 0 && goes_to(s, s.classes[c], plan.partners[partner].kind)) {
+    if (partner >= 0 && accepts_class(s, s.classes[c], plan.partners[partner].kind)) {
       out.partner = static_cast<uint16_t>(partner);
     } else {
       const auto& sums = weights[c];
@@ -124,18 +126,19 @@
         static_cast<uint32_t>(random.between(s.load.body_bytes.low, s.load.body_bytes.high + 0.999));
     plan.arrivals.push_back(out);
   };
-  // A clump holds what one partner takes in its span; clumps come as often as their share of all asks for.
-  const double alone = 1 - s.load.clump_share;
-  for (double t = random.exponential(1 / most); t < s.seconds; t += random.exponential(1 / most)) {
-    if (random.chance(rate_at(t) / most * alone)) add(t, -1);
+  // A clump is a burst of messages to one partner, as many as it takes within a time drawn from `clump_s`.
+  // Clumps are spaced so that their messages make up `clump_share` of all.
+  const double unclumped_share = 1 - s.load.clump_share;
+  for (double t = random.exponential(1 / max_rate); t < s.seconds; t += random.exponential(1 / max_rate)) {
+    if (random.chance(rate_at(t) / max_rate * unclumped_share)) add(t, -1);
   }
   if (s.load.clump_share > 0) {
     double t = 0;
     while (true) {
       const size_t partner = random.below(plan.partners.size());
-      const double takes =
+      const double clump_size =
           plan.partners[partner].advertised_rate * random.between(s.load.clump_s.low, s.load.clump_s.high);
-      const auto count = std::max<size_t>(2, static_cast<size_t>(takes));
+      const auto count = std::max<size_t>(2, static_cast<size_t>(clump_size));
       t += random.exponential(static_cast<double>(count) / (s.load.rate * s.load.clump_share));
       if (t >= s.seconds) break;
       for (size_t i = 0; i < count; ++i) {
@@ -149,7 +152,7 @@
   for (size_t i = 0; i < plan.arrivals.size(); ++i) plan.arrivals[i].message = static_cast<uint32_t>(i + 1);
 }
 
-// From a stream of their own: a scenario with tenants has the same arrivals as without.
+// Uses a random stream of its own, so that a scenario has the same arrivals with and without tenants.
 void draw_tenants(const Scenario& s, Plan& plan, Random random) {
   double shares = 0;
   for (const TenantSpec& t : s.tenants) shares += t.share;
@@ -180,17 +183,18 @@
                      [&](int a, int b) { return plan.partners[a].traffic > plan.partners[b].traffic; });
     all.resize(std::min<size_t>(all.size(), static_cast<size_t>(event.largest)));
   }
-  if (event.share > 0) {  // drawn until they have that share; the last one may not go far over it
+  if (event.share >
+      0) {  // drawn at random until their traffic reaches that share, skipping those that would exceed it
     for (size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[random.below(i)]);
-    std::vector<int> some;
+    std::vector<int> selected;
     double sum = 0;
     for (const int p : all) {
-      if (!some.empty() && sum + plan.partners[p].traffic > event.share) continue;
-      some.push_back(p);
+      if (!selected.empty() && sum + plan.partners[p].traffic > event.share) continue;
+      selected.push_back(p);
       sum += plan.partners[p].traffic;
       if (sum >= event.share) break;
     }
-    all = std::move(some);
+    all = std::move(selected);
   }
   std::sort(all.begin(), all.end());
   return all;
@@ -200,14 +204,14 @@
   const auto add = [&](const EventSpec& event, Action action, Time at, int relay) {
     EventPlan out;
     out.at = at;
-    out.duration = micro(event.for_s);
+    out.duration = to_microseconds(event.for_s);
     out.action = action;
     if (action <= Action::kWithdraw) out.partners = targets_of(s, plan, event, random);
     out.relay = relay;
     out.amount = event.amount;
     out.sends_retry_after = event.wait_told;
     out.same_address = event.same_address;
-    out.linger = micro(event.linger_s);
+    out.linger = to_microseconds(event.linger_s);
     out.seed = random.bits();
     out.description = action_name(action);
     if (!event.kind.empty()) out.description += " " + event.kind;
@@ -217,17 +221,18 @@
   };
   for (const EventSpec& event : s.events) {
     for (int time = 0; time < event.times; ++time) {
-      const Time at = micro(event.at_s + time * event.every_s);
-      if (event.action == Action::kRolling) {  // one every so often, each after the one before is surely back
-        const Time gap = event.for_s > 0 ? micro(event.for_s) / s.relays : 6 * kSecond;
+      const Time at = to_microseconds(event.at_s + time * event.every_s);
+      if (event.action ==
+          Action::kRolling) {  // spaced so that each relay is ready again before the next stops
+        const Time gap = event.for_s > 0 ? to_microseconds(event.for_s) / s.relays : 6 * kSecond;
         for (int i = 0; i < s.relays; ++i) add(event, Action::kTerminate, at + i * gap, i);
         continue;
       }
-      const bool of_relay = event.action == Action::kKill || event.action == Action::kTerminate ||
-                            event.action == Action::kMove || event.action == Action::kLose ||
-                            event.action == Action::kCrowd;
+      const bool targets_relay = event.action == Action::kKill || event.action == Action::kTerminate ||
+                                 event.action == Action::kMove || event.action == Action::kLose ||
+                                 event.action == Action::kCrowd;
       const int drawn = static_cast<int>(random.below(static_cast<size_t>(s.relays)));
-      add(event, event.action, at, of_relay ? (event.relay >= 0 ? event.relay : drawn) : -1);
+      add(event, event.action, at, targets_relay ? (event.relay >= 0 ? event.relay : drawn) : -1);
     }
   }
   std::stable_sort(plan.events.begin(), plan.events.end(),
@@ -271,9 +276,9 @@
 
 Plan make_plan(const Scenario& s, uint64_t seed) {
   Random root(seed);
-  Random partners = root.fork(kPartners);
-  Random arrivals = root.fork(kArrivals);
-  Random events = root.fork(kEvents);
+  Random partners = root.fork(kPartnerStream);
+  Random arrivals = root.fork(kArrivalStream);
+  Random events = root.fork(kEventStream);
   Plan plan;
   const std::vector<int> kinds = draw_kinds(s, partners);
   for (size_t i = 0; i < kinds.size(); ++i) {
@@ -285,13 +290,13 @@
   }
   size_partners(s, plan.partners, partners);
   draw_arrivals(s, plan, arrivals);
-  draw_tenants(s, plan, root.fork(kTenants));
+  draw_tenants(s, plan, root.fork(kTenantStream));
   resolve_events(s, plan, events);
-  double busy = 0;
+  double busy_slots = 0;
   for (const PartnerPlan& p : plan.partners) {
-    busy += p.traffic * s.load.rate * s.load.full * static_cast<double>(p.mean_service_time) / 1e6;
+    busy_slots += p.traffic * s.load.rate * s.load.full * static_cast<double>(p.mean_service_time) / 1e6;
   }
-  plan.slots = std::max(s.least_slots, static_cast<int>(std::ceil(busy / s.relays * s.slots_room)));
+  plan.slots = std::max(s.least_slots, static_cast<int>(std::ceil(busy_slots / s.relays * s.slots_room)));
   plan.max_open =
       std::max(s.least_open, static_cast<int>(std::ceil(s.load.rate * s.load.full / s.relays * s.hold_s)));
   plan.digest = digest_of(plan);
--- a/rehearsal/plan.h
+++ b/rehearsal/plan.h
@@ -1,5 +1,6 @@
-// What one seed makes of a scenario: the partners with their sizes and paces, every arrival, and the script
-// with its targets. Drawn ahead and without I/O, so that a seed gives the same run each time; `digest` tells.
+// The concrete run that a scenario and a seed describe: partners with their sizes and speeds, every arrival,
+// and the events with their targets. All random choices are made here, in advance and without I/O, so that
+// one seed always gives the same run; equal runs have the same `digest`.
 #pragma once
 
 #include <string>
@@ -10,30 +11,30 @@
 namespace umberhoist::rehearsal {
 
 struct PartnerPlan {
-  int number = 0;  // its destination
+  int number = 0;  // its destination, and its index in Plan::partners
   std::string name;
   int kind = 0;
-  double traffic = 0;  // share of all messages
+  double traffic = 0;  // expected share of all messages
   int endpoints = 1;
-  Time mean_service_time = 0;  // mean time of a call
+  Time mean_service_time = 0;
   double cv = 0;
-  int concurrency = 1;  // calls served at once, over all endpoints
-  double capacity = 0;  // calls a second
+  int concurrency = 1;  // calls served concurrently over all endpoints
+  double capacity = 0;  // calls per second
   Limit limit = Limit::kNone;
-  double limit_rate = 0;       // calls a second, where there is a limit
-  Time limit_window = 0;       // of a windowed limit
-  double advertised_rate = 0;  // what the list says of it
-  Time max_queue_wait = 0;     // a call may wait so long for a place
+  double limit_rate = 0;       // calls per second, if `limit` is set
+  Time limit_window = 0;       // for Limit::kWindow
+  double advertised_rate = 0;  // calls per second, as published in the host list
+  Time max_queue_wait = 0;     // longest time a call may wait to be served
   uint64_t seed = 0;
 };
 
 struct ArrivalPlan {
-  Time at = 0;  // from the start of the run
+  Time at = 0;  // microseconds from the start of the load
   uint32_t message = 0;
   uint16_t message_class = 0;
   uint16_t partner = 0;
-  uint16_t tenant = 0;      // of the scenario's, if it has any
-  uint32_t body_bytes = 0;  // bytes
+  uint16_t tenant = 0;  // index in Scenario::tenants, if there are any
+  uint32_t body_bytes = 0;
 };
 
 struct EventPlan {
@@ -47,18 +48,19 @@
   bool same_address = true;
   Time linger = 0;
   uint64_t seed = 0;
-  std::string description;  // for people
+  std::string description;  // for reports
 };
 
 struct Plan {
-  std::vector<PartnerPlan> partners;  // by falling traffic within the order of their numbers
-  std::vector<ArrivalPlan> arrivals;  // by time
-  std::vector<EventPlan> events;      // by time
-  int slots = 0;                      // of one relay
-  int max_open = 0;                   // of one relay
+  std::vector<PartnerPlan> partners;  // by number, in the order of their Zipf weights
+  std::vector<ArrivalPlan> arrivals;  // ordered by time
+  std::vector<EventPlan> events;      // ordered by time
+  int slots = 0;                      // concurrent calls of one relay
+  int max_open = 0;                   // messages that one relay may hold
   uint64_t digest = 0;
 };
 
+// Throws ScenarioError if the scenario cannot be played, such as when a class has no partner to go to.
 Plan make_plan(const Scenario& scenario, uint64_t seed);
 
 }  // namespace umberhoist::rehearsal
--- a/rehearsal/random.h
+++ b/rehearsal/random.h
@@ -1,4 +1,5 @@
-// Random choices that are the same for a seed with every compiler: the standard's distributions are not.
+// Random numbers that are the same for a seed with every compiler. The standard library's distributions are
+// implementation-defined and therefore not used.
 #pragma once
 
 #include <cmath>
@@ -17,13 +18,13 @@
   size_t below(size_t count) { return static_cast<size_t>(unit() * static_cast<double>(count)); }
   bool chance(double share) { return unit() < share; }
   double exponential(double mean) { return -mean * std::log(1 - unit()); }
-  // Of this mean and coefficient of variation.
+  // Log-normal distribution with the given mean and coefficient of variation.
   double lognormal(double mean, double cv) {
     const double variance = std::log(1 + cv * cv);
     const double normal = std::sqrt(-2 * std::log(1 - unit())) * std::cos(2 * M_PI * unit());
     return std::exp(std::log(mean) - variance / 2 + std::sqrt(variance) * normal);
   }
-  // A generator of its own for one purpose: what is added elsewhere does not shift its choices.
+  // Returns an independent generator for one purpose. Draws added elsewhere do not change its sequence.
   Random fork(uint64_t purpose) { return Random(engine_() ^ (purpose * 0x9e3779b97f4a7c15)); }
 
  private:
