--- a/rehearsal/scenario.cpp
+++ b/rehearsal/scenario.cpp
@@ -26,21 +26,21 @@
 }
 
 template <class Map>
-std::string names_of(const Map& map) {
+std::string joined_names(const Map& map) {
   std::string out;
   for (const auto& [name, value] : map) out += (out.empty() ? "" : ", ") + std::string(name);
   return out;
 }
 
-std::string place(const std::string& file, const toml::source_region& source) {
+std::string source_position(const std::string& file, const toml::source_region& source) {
   return file + ":" + std::to_string(source.begin.line) + ":" + std::to_string(source.begin.column);
 }
 
-// Reads the keys of one table. What was not asked for when it ends is an error: a misspelt key must not pass
-// for a default.
-class Reader {
+// Reads the keys of one TOML table and checks their types and ranges. `reject_unknown_keys` is called last
+// and rejects keys that were never read, so that a misspelt key does not silently leave a default in place.
+class TableReader {
  public:
-  Reader(const toml::table& table, std::string file, std::string path)
+  TableReader(const toml::table& table, std::string file, std::string path)
       : table_(table), file_(std::move(file)), path_(std::move(path)) {}
 
   void number(const char* key, double& out, double low, double high) {
@@ -48,7 +48,7 @@
     if (node == nullptr) return;
     const auto value = node->value<double>();
     if (!node->is_number() || !value || !(*value >= low && *value <= high))
-      wrong(*node, key, range(low, high));
+      wrong(*node, key, describe_range(low, high));
     out = *value;
   }
 
@@ -69,17 +69,18 @@
     out = *node->value<bool>();
   }
 
-  void text(const char* key, std::string& out) {
+  void string(const char* key, std::string& out) {
     const toml::node* node = get(key);
     if (node == nullptr) return;
     if (!node->is_string()) wrong(*node, key, "a string");
     out = *node->value<std::string>();
   }
 
-  void span(const char* key, ValueRange& out, double low, double high) {
+  void number_range(const char* key, ValueRange& out, double low, double high) {
     const toml::node* node = get(key);
     if (node == nullptr) return;
-    const std::string expected = "one number or two in an array, the lower first, each " + range(low, high);
+    const std::string expected =
+        "one number or two in an array, the lower first, each " + describe_range(low, high);
     const auto within = [&](const toml::node& item) {
       const auto value = item.value<double>();
       if (!item.is_number() || !value || !(*value >= low && *value <= high)) wrong(item, key, expected);
@@ -94,7 +95,7 @@
     }
   }
 
-  void texts(const char* key, std::vector<std::string>& out) {
+  void strings(const char* key, std::vector<std::string>& out) {
     const toml::node* node = get(key);
     if (node == nullptr) return;
     const auto* array = node->as_array();
@@ -111,7 +112,7 @@
     if (node == nullptr) return;
     const auto value = node->value<std::string>();
     const auto it = node->is_string() && value ? map.find(*value) : map.end();
-    if (it == map.end()) wrong(*node, key, "one of " + names_of(map));
+    if (it == map.end()) wrong(*node, key, "one of " + joined_names(map));
     out = it->second;
   }
 
@@ -137,18 +138,18 @@
 
   bool has(const char* key) const { return table_.contains(key); }
 
-  void need(const char* key) const {
+  void require(const char* key) const {
     if (!table_.contains(key)) {
       throw ScenarioError(where() + ": " + label() + " has no '" + key + "', which was expected");
     }
   }
 
-  void end() const {
+  void reject_unknown_keys() const {
     for (const auto& [key, node] : table_) {
-      if (asked_.contains(std::string(key.str()))) continue;
+      if (read_keys_.contains(std::string(key.str()))) continue;
       std::string known;
-      for (const std::string& name : asked_) known += (known.empty() ? "" : ", ") + name;
-      throw ScenarioError(place(file_, key.source()) + ": " + label() + " knows no '" +
+      for (const std::string& name : read_keys_) known += (known.empty() ? "" : ", ") + name;
+      throw ScenarioError(source_position(file_, key.source()) + ": " + label() + " knows no '" +
                           std::string(key.str()) + "'; expected one of " + known);
     }
   }
@@ -157,22 +158,22 @@
     wrong(*table_.get(key), key, expected);
   }
 
-  std::string where() const { return place(file_, table_.source()); }
+  std::string where() const { return source_position(file_, table_.source()); }
 
  private:
   const toml::node* get(const char* key) {
-    asked_.insert(key);
+    read_keys_.insert(key);
     return table_.get(key);
   }
 
   [[noreturn]] void wrong(const toml::node& node, const char* key, const std::string& expected) const {
-    throw ScenarioError(place(file_, node.source()) + ": '" + key + "' of " + label() + ": expected " +
-                        expected);
+    throw ScenarioError(source_position(file_, node.source()) + ": '" + key + "' of " + label() +
+                        ": expected " + expected);
   }
 
   std::string label() const { return path_.empty() ? "the scenario" : "[" + path_ + "]"; }
 
-  static std::string range(double low, double high) {
+  static std::string describe_range(double low, double high) {
     std::ostringstream out;
     out << "a number, " << low << " to " << high;
     return out.str();
@@ -181,7 +182,7 @@
   const toml::table& table_;
   std::string file_;
   std::string path_;
-  std::set<std::string> asked_;
+  std::set<std::string> read_keys_;
 };
 
 const std::map<std::string, Effect, std::less<>> kEffects = {
@@ -189,52 +190,52 @@
 const std::map<std::string, Limit, std::less<>> kLimits = {
     {"none", Limit::kNone}, {"rate", Limit::kRate}, {"window", Limit::kWindow}};
 
-const std::map<std::string, LateWorthDecay, std::less<>> kLate = {{"halves", LateWorthDecay::kHalving},
-                                                                  {"line", LateWorthDecay::kLinear}};
+const std::map<std::string, LateWorthDecay, std::less<>> kLateWorthDecays = {
+    {"halves", LateWorthDecay::kHalving}, {"line", LateWorthDecay::kLinear}};
 const std::map<std::string, bool, std::less<>> kDurability = {{"group", true}, {"process", false}};
-const std::map<std::string, bool, std::less<>> kKnown = {{"first", true}, {"now", false}};
+const std::map<std::string, bool, std::less<>> kKnownLists = {{"first", true}, {"now", false}};
 
-constexpr double kDay = 86'400;
+constexpr double kDaySeconds = 86'400;
 
 KindSpec read_kind(const toml::table& table, const std::string& file) {
-  Reader in(table, file, "kind");
+  TableReader in(table, file, "kind");
   KindSpec out;
-  in.need("name");
-  in.text("name", out.name);
+  in.require("name");
+  in.string("name", out.name);
   in.number("share", out.share, 0.001, 1000);
   in.number("lean", out.lean, -1, 1);
-  in.span("endpoints", out.endpoints, 1, 64);
-  in.span("service_ms", out.service_ms, 0.01, 60'000);
+  in.number_range("endpoints", out.endpoints, 1, 64);
+  in.number_range("service_ms", out.service_ms, 0.01, 60'000);
   in.number("cv", out.cv, 0, 3);
   in.number("spare", out.spare, 0.1, 1000);
   in.number("least_rate", out.least_rate, 0.1, 1e6);
   in.one_of("limit", kLimits, out.limit);
   in.number("headroom", out.headroom, 0.1, 1000);
-  in.span("span_s", out.span_s, 0.1, 60);
+  in.number_range("span_s", out.span_s, 0.1, 60);
   in.number("tells_wait", out.tells_wait, 0, 1);
-  in.span("wait_ms", out.wait_ms, 1, 60'000);
+  in.number_range("wait_ms", out.wait_ms, 1, 60'000);
   in.number("queue_s", out.queue_s, 0, 60);
   in.integer("connections", out.connections, 0, 100'000);
   in.number("error_rate", out.error_rate, 0, 1);
-  in.end();
+  in.reject_unknown_keys();
   return out;
 }
 
 ClassSpec read_class(const toml::table& table, const std::string& file, const std::vector<KindSpec>& kinds) {
-  Reader in(table, file, "class");
+  TableReader in(table, file, "class");
   ClassSpec out;
-  in.need("name");
-  in.need("effect");
-  in.text("name", out.name);
+  in.require("name");
+  in.require("effect");
+  in.string("name", out.name);
   in.number("share", out.share, 0.001, 1000);
   in.one_of("effect", kEffects, out.effect);
-  in.number("key_window_s", out.key_window_s, 0.1, kDay);
-  in.number("aim_s", out.aim_s, 0.01, kDay);
-  in.number("give_up_s", out.give_up_s, 0.01, kDay);
+  in.number("key_window_s", out.key_window_s, 0.1, kDaySeconds);
+  in.number("aim_s", out.aim_s, 0.01, kDaySeconds);
+  in.number("give_up_s", out.give_up_s, 0.01, kDaySeconds);
   in.number("worth", out.worth, 0, 1e6);
   in.number("late_worth", out.late_worth, 0, 1);
-  in.texts("kinds", out.kinds);
-  in.end();
+  in.strings("kinds", out.kinds);
+  in.reject_unknown_keys();
   for (const std::string& kind : out.kinds) {
     if (std::none_of(kinds.begin(), kinds.end(), [&](const KindSpec& k) { return k.name == kind; })) {
       in.wrong("kinds", "names of [[kind]] tables; '" + kind + "' is none");
@@ -244,30 +245,30 @@
 }
 
 EventSpec read_event(const toml::table& table, const std::string& file, const Scenario& scenario) {
-  Reader in(table, file, "event");
+  TableReader in(table, file, "event");
   EventSpec out;
   out.where = in.where();
-  in.need("at_s");
-  in.need("do");
+  in.require("at_s");
+  in.require("do");
   in.number("at_s", out.at_s, 0, scenario.seconds);
-  in.number("for_s", out.for_s, 0, kDay);
+  in.number("for_s", out.for_s, 0, kDaySeconds);
   in.integer("times", out.times, 1, 100'000);
-  if (out.times > 1) in.need("every_s");
-  in.number("every_s", out.every_s, 0.01, kDay);
+  if (out.times > 1) in.require("every_s");
+  in.number("every_s", out.every_s, 0.01, kDaySeconds);
   if (out.at_s + (out.times - 1) * out.every_s > scenario.seconds) {
     in.wrong("times", "no more than fit into the scenario's seconds");
   }
   in.one_of("do", actions(), out.action);
-  in.text("kind", out.kind);
-  in.text("partner", out.partner);
+  in.string("kind", out.kind);
+  in.string("partner", out.partner);
   in.integer("largest", out.largest, 0, 100'000);
   in.number("share", out.share, 0, 1);
   in.integer("relay", out.relay, 0, scenario.relays - 1);
   in.number("amount", out.amount, 0, 1e6);
   in.flag("wait_told", out.wait_told);
   in.flag("same_address", out.same_address);
-  in.number("linger_s", out.linger_s, 0, kDay);
-  in.end();
+  in.number("linger_s", out.linger_s, 0, kDaySeconds);
+  in.reject_unknown_keys();
   const auto kind_known = [&](const KindSpec& k) { return k.name == out.kind; };
   if (!out.kind.empty() && std::none_of(scenario.kinds.begin(), scenario.kinds.end(), kind_known)) {
     in.wrong("kind", "the name of a [[kind]] table");
@@ -278,7 +279,7 @@
     throw ScenarioError(out.where + ": [event] '" + action_name(out.action) +
                         "' says nobody; expected one of kind, partner, largest or share");
   }
-  if (of_partners && out.for_s <= 0) in.need("for_s");
+  if (of_partners && out.for_s <= 0) in.require("for_s");
   if (out.action == Action::kReplace && (out.amount <= 0 || out.amount > 1)) {
     throw ScenarioError(out.where +
                         ": [event] 'replace': expected amount, the share of all endpoints, over 0 to 1");
@@ -296,14 +297,14 @@
 }
 
 TenantSpec read_tenant(const toml::table& table, const std::string& file) {
-  Reader in(table, file, "tenant");
+  TableReader in(table, file, "tenant");
   TenantSpec out;
-  in.need("name");
-  in.text("name", out.name);
+  in.require("name");
+  in.string("name", out.name);
   in.number("share", out.share, 0.001, 1000);
   in.number("quota_per_s", out.quota_per_s, 0, 1e6);
-  in.end();
-  // It stands in a list of names and values of each request.
+  in.reject_unknown_keys();
+  // The name is sent in the comma-separated key=value list of each request.
   if (out.name.empty() || out.name.find_first_of(",= \t\r\n") != std::string::npos) {
     in.wrong("name", "a name without blanks, commas and equals signs");
   }
@@ -311,17 +312,17 @@
 }
 
 ExpectSpec read_expect(const toml::table& table, const std::string& file, const Scenario& scenario) {
-  Reader in(table, file, "expect");
+  TableReader in(table, file, "expect");
   ExpectSpec out;
   out.where = in.where();
-  in.text("class", out.of_class);
-  in.text("tenant", out.of_tenant);
+  in.string("class", out.of_class);
+  in.string("tenant", out.of_tenant);
   in.number("delivered", out.delivered, 0, 1);
   in.number("in_time", out.in_time, 0, 1);
   in.number("failed", out.failed, 0, 1);
   in.number("refused", out.refused, 0, 1);
   in.number("attempts", out.attempts, 0, 1000);
-  in.end();
+  in.reject_unknown_keys();
   const auto known = [&](const ClassSpec& c) { return c.name == out.of_class; };
   if (!out.of_class.empty() && std::none_of(scenario.classes.begin(), scenario.classes.end(), known)) {
     in.wrong("class", "the name of a [[class]] table");
@@ -340,7 +341,7 @@
   return out;
 }
 
-// "a.b=value": the value as TOML, or as a string where it is none.
+// Applies "a.b=value". The value is parsed as TOML, or taken as a string if it is not valid TOML.
 void apply_set(toml::table& root, const std::string& set) {
   const size_t equals = set.find('=');
   if (equals == 0 || equals == std::string::npos) {
@@ -366,15 +367,15 @@
 
 Scenario read(const toml::table& root, const std::string& file) {
   Scenario out;
-  Reader in(root, file, "");
-  in.text("name", out.name);
-  in.text("title", out.title);
-  in.number("seconds", out.seconds, 1, kDay);
+  TableReader in(root, file, "");
+  in.string("name", out.name);
+  in.string("title", out.title);
+  in.number("seconds", out.seconds, 1, kDaySeconds);
   int seed = 1;
   in.integer("seed", seed, 0, 1'000'000'000);
   out.seed = static_cast<uint64_t>(seed);
   if (const auto* table = in.table("relays")) {
-    Reader relays(*table, file, "relays");
+    TableReader relays(*table, file, "relays");
     relays.integer("count", out.relays, 1, 100);
     relays.integer("sockets", out.sockets, 64, 1'000'000);
     relays.integer("memory_mb", out.memory_mb, 1, 1'000'000);
@@ -393,70 +394,70 @@
       throw ScenarioError(file + ": relays.count is " + std::to_string(out.relays) +
                           "; expected at least 3 for a fleet");
     }
-    relays.end();
+    relays.reject_unknown_keys();
   }
   if (const auto* table = in.table("partners")) {
-    Reader partners(*table, file, "partners");
+    TableReader partners(*table, file, "partners");
     partners.integer("count", out.partners, 1, 100'000);
     partners.number("zipf", out.zipf, 0, 3);
     partners.integer("zones", out.zones, 1, 16);
     partners.number("idle_s", out.idle_s, 2, 3600);
     partners.number("connect_timeout_s", out.connect_timeout_s, 0.01, 60);
-    partners.end();
+    partners.reject_unknown_keys();
   }
   if (const auto* table = in.table("discovery")) {
-    Reader discovery(*table, file, "discovery");
-    discovery.span("lag_s", out.lag_s, 0, 3600);
-    discovery.one_of("known", kKnown, out.known_at_first);
-    discovery.end();
+    TableReader discovery(*table, file, "discovery");
+    discovery.number_range("lag_s", out.lag_s, 0, 3600);
+    discovery.one_of("known", kKnownLists, out.known_at_first);
+    discovery.reject_unknown_keys();
   }
   if (const auto* table = in.table("clients")) {
-    Reader clients(*table, file, "clients");
+    TableReader clients(*table, file, "clients");
     clients.integer("retries", out.retries, 0, 100);
     clients.number("honour", out.honour, 0, 1);
-    clients.span("backoff_ms", out.backoff_ms, 1, 600'000);
-    clients.span("notice_s", out.notice_s, 0, 600);
-    clients.span("again_s", out.again_s, 0, 600);
-    clients.one_of("late", kLate, out.late);
+    clients.number_range("backoff_ms", out.backoff_ms, 1, 600'000);
+    clients.number_range("notice_s", out.notice_s, 0, 600);
+    clients.number_range("again_s", out.again_s, 0, 600);
+    clients.one_of("late", kLateWorthDecays, out.late);
     clients.number("over_share_worth", out.over_share_worth, 0, 1);
-    clients.end();
+    clients.reject_unknown_keys();
   }
   if (const auto* table = in.table("rules")) {
-    Reader rules(*table, file, "rules");
+    TableReader rules(*table, file, "rules");
     double grace = 1, window = 3, cold = 12;
     rules.number("drain_grace_s", grace, 0.01, 600);
     rules.number("fall_multiple", out.rule_parameters.overload_factor, 1, 1000);
     rules.number("fall_s", window, 0.1, 600);
     rules.number("cold_s", cold, 0.1, 3600);
     rules.number("start_capacity", out.rule_parameters.start_capacity, 0.01, 1);
-    rules.end();
+    rules.reject_unknown_keys();
     out.rule_parameters.drain_grace = static_cast<Time>(grace * 1e6);
     out.rule_parameters.overload_window = static_cast<Time>(window * 1e6);
     out.rule_parameters.slow_start = static_cast<Time>(cold * 1e6);
   }
   if (const auto* table = in.table("load")) {
-    Reader load(*table, file, "load");
+    TableReader load(*table, file, "load");
     load.number("rate", out.load.rate, 0.01, 1e6);
     load.number("full", out.load.full, 0.1, 100);
     load.number("swing", out.load.swing, 0, 0.95);
-    load.number("period_s", out.load.period_s, 0.5, kDay);
+    load.number("period_s", out.load.period_s, 0.5, kDaySeconds);
     load.number("clump_share", out.load.clump_share, 0, 0.9);
-    load.span("clump_s", out.load.clump_s, 0.01, 600);
-    load.span("body_bytes", out.load.body_bytes, 0, 65'536);
+    load.number_range("clump_s", out.load.clump_s, 0.01, 600);
+    load.number_range("body_bytes", out.load.body_bytes, 0, 65'536);
     for (const toml::table* item : load.tables("burst")) {
-      Reader burst(*item, file, "load.burst");
+      TableReader burst(*item, file, "load.burst");
       BurstSpec spec;
-      burst.need("at_s");
+      burst.require("at_s");
       burst.number("at_s", spec.at_s, 0, out.seconds);
       burst.number("for_s", spec.for_s, 0.01, out.seconds);
       burst.number("factor", spec.factor, 0, 1000);
-      burst.end();
+      burst.reject_unknown_keys();
       out.load.bursts.push_back(spec);
     }
-    load.end();
+    load.reject_unknown_keys();
   }
-  in.need("kind");
-  in.need("class");
+  in.require("kind");
+  in.require("class");
   for (const toml::table* item : in.tables("kind")) out.kinds.push_back(read_kind(*item, file));
   for (const toml::table* item : in.tables("class"))
     out.classes.push_back(read_class(*item, file, out.kinds));
@@ -464,7 +465,7 @@
     TenantSpec tenant = read_tenant(*item, file);
     const auto same = [&](const TenantSpec& t) { return t.name == tenant.name; };
     if (std::any_of(out.tenants.begin(), out.tenants.end(), same)) {
-      Reader(*item, file, "tenant").wrong("name", "another name in each [[tenant]]");
+      TableReader(*item, file, "tenant").wrong("name", "another name in each [[tenant]]");
     }
     out.tenants.push_back(std::move(tenant));
   }
@@ -472,7 +473,7 @@
   if (out.classes.empty()) in.wrong("class", "at least one [[class]]");
   for (const toml::table* item : in.tables("event")) out.events.push_back(read_event(*item, file, out));
   for (const toml::table* item : in.tables("expect")) out.expects.push_back(read_expect(*item, file, out));
-  in.end();
+  in.reject_unknown_keys();
   std::stable_sort(out.events.begin(), out.events.end(),
                    [](const EventSpec& a, const EventSpec& b) { return a.at_s < b.at_s; });
   out.rule_parameters.max_attempts = out.max_attempts;
@@ -482,7 +483,7 @@
   return out;
 }
 
-std::string targets(const EventSpec& event) {
+std::string describe_targets(const EventSpec& event) {
   std::ostringstream out;
   if (!event.kind.empty()) out << " partners of kind " << event.kind;
   if (!event.partner.empty()) out << " partner " << event.partner;
@@ -507,7 +508,7 @@
   try {
     root = toml::parse(text, name);
   } catch (const toml::parse_error& error) {
-    throw ScenarioError(place(name, error.source()) + ": " + std::string(error.description()));
+    throw ScenarioError(source_position(name, error.source()) + ": " + std::string(error.description()));
   }
   for (const std::string& set : sets) apply_set(root, set);
   Scenario out = read(root, name);
@@ -558,7 +559,7 @@
     }
   }
   for (const EventSpec& e : s.events) {
-    out << "  at " << e.at_s << " s: " << action_name(e.action) << targets(e);
+    out << "  at " << e.at_s << " s: " << action_name(e.action) << describe_targets(e);
     if (e.for_s > 0) out << " for " << e.for_s << " s";
     if (e.times > 1) out << ", " << e.times << " times, every " << e.every_s << " s";
     if (e.amount > 0) out << ", amount " << e.amount;
--- a/rehearsal/scenario.h
+++ b/rehearsal/scenario.h
@@ -1,5 +1,6 @@
-// A scenario: the world that a rehearsal plays, the load on it, and the script of what goes wrong. Read from
-// TOML; what cannot be read, is out of range or is not known is one error with file, line and column.
+// A scenario describes the relays, partners and clients of a rehearsal, the load, and the scheduled events
+// such as outages. It is read from TOML. A syntax error, a value out of range or an unknown key raises a
+// ScenarioError that names file, line and column. Fields are named after their keys; a suffix gives the unit.
 #pragma once
 
 #include <filesystem>
@@ -14,10 +15,10 @@
 
 class ScenarioError : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;  // "file:line:column: what, and what was expected"
+  using std::runtime_error::runtime_error;  // "file:line:column: what is wrong, and what was expected"
 };
 
-struct ValueRange {  // a range to draw from, evenly
+struct ValueRange {  // values are drawn uniformly from it
   double low = 0;
   double high = 0;
 };
@@ -26,20 +27,20 @@
 
 struct KindSpec {
   std::string name;
-  double share = 1;  // of the partners
-  double lean = 0;   // of the traffic: partners of this kind come earlier (1) or later (-1) by size
+  double share = 1;  // relative share of the partners
+  double lean = 0;   // -1 to 1: above 0, partners of this kind tend to get more traffic
   ValueRange endpoints{1, 2};
   ValueRange service_ms{40, 80};
   double cv = 0.6;
-  double spare = 1.4;     // capacity over the calls at full load
-  double least_rate = 3;  // calls a second that any of them takes
+  double spare = 1.4;     // capacity as a multiple of the calls at full load
+  double least_rate = 3;  // lower bound of capacity and limit, calls per second
   Limit limit = Limit::kNone;
-  double headroom = 1.6;    // a limit over the calls at full load
-  ValueRange span_s{1, 2};  // of a windowed limit
-  double tells_wait = 0.5;
-  ValueRange wait_ms{200, 700};  // told by a plain rate
-  double queue_s = 0.5;          // what may wait, in time
-  int connections = 0;           // an endpoint takes; 0: no limit
+  double headroom = 1.6;         // limit as a multiple of the calls at full load
+  ValueRange span_s{1, 2};       // window length for Limit::kWindow
+  double tells_wait = 0.5;       // share of refusals that carry a wait
+  ValueRange wait_ms{200, 700};  // wait in the refusals for Limit::kRate
+  double queue_s = 0.5;          // longest time a call may be queued
+  int connections = 0;           // connections an endpoint accepts; 0: unlimited
   double error_rate = 0;
 };
 
@@ -52,17 +53,17 @@
   double give_up_s = 16;
   double worth = 1;
   double late_worth = 0.3;
-  std::vector<std::string> kinds;  // that it goes to; empty: all
+  std::vector<std::string> kinds;  // kinds of partners it is sent to; empty: all
 };
 
 struct TenantSpec {
   std::string name;
-  double share = 1;        // of the messages
-  double quota_per_s = 0;  // that all relays together take at full worth; 0: none
+  double share = 1;        // relative share of the messages
+  double quota_per_s = 0;  // messages that all relays together accept at full worth; 0: no quota
 };
 
-// What a delivery after its aim is still worth: half as much with each further aim, or less and less up to
-// the end; never under the class's late_worth.
+// How the worth of a delivery falls after `aim_s`: it halves with each further `aim_s`, or falls linearly
+// until `give_up_s`. It never falls below the class's `late_worth`.
 enum class LateWorthDecay { kHalving, kLinear };
 
 struct BurstSpec {
@@ -72,66 +73,67 @@
 };
 
 struct LoadSpec {
-  double rate = 69;   // messages a second
-  double full = 1.3;  // full load over it: partners are sized for that
-  double swing = 0;   // of a wave; 0: steady
+  double rate = 69;   // messages per second
+  double full = 1.3;  // full load as a multiple of `rate`; partners are sized for it
+  double swing = 0;   // relative amplitude of a sine wave; 0: constant rate
   double period_s = 20;
-  double clump_share = 0.1;
+  double clump_share = 0.1;  // share of messages that arrive in clumps to one partner
   ValueRange clump_s{1.2, 3.3};
   ValueRange body_bytes{64, 512};
   std::vector<BurstSpec> bursts;
 };
 
 enum class Action {
-  kSilent,     // no answer, no reset; new connections never come up
-  kHang,       // connections come up, calls are read, nothing is answered
-  kShut,       // turns all away
-  kRefuse,     // connections are refused
-  kFail,       // a share of the calls ends with 500
-  kSlow,       // by a factor
-  kReset,      // a share of the calls is broken off after they were read
-  kSpoil,      // a share of the answers is unreadable
-  kHold,       // new connections come up late; open ones go on
-  kWithdraw,   // none of a partner's endpoints is in the list; new ones when it ends
+  // Up to kWithdraw: actions with partners as targets.
+  kSilent,     // partner: no replies and no resets; new connections are never established
+  kHang,       // partner: connections and calls are accepted, but never answered
+  kShut,       // partner: all calls are refused
+  kRefuse,     // partner: connections are refused
+  kFail,       // partner: a share of the calls is answered with 500
+  kSlow,       // partner: service times grow by a factor
+  kReset,      // partner: a share of the calls is reset after being read
+  kSpoil,      // partner: a share of the responses is malformed
+  kHold,       // partner: new connections are established late; open ones continue
+  kWithdraw,   // partner: all endpoints leave the list; new ones are listed when the event ends
   kReplace,    // a share of all endpoints is drained and replaced by new ones
-  kLag,        // discovery runs further behind
-  kBlackout,   // discovery is silent
-  kCrowd,      // clients that connect and say nothing
-  kKill,       // relay: SIGKILL and a start
-  kTerminate,  // relay: SIGTERM, and SIGKILL if it takes too long, and a start
-  kRolling,    // all relays, one after the other, by SIGTERM
-  kMove,       // discovery moves, SIGHUP
-  kNotices,    // notices are read, and answered only when this ends
-  kLose        // relay: SIGKILL, its folder is gone, and a start
+  kLag,        // the discovery lag grows
+  kBlackout,   // discovery agents do not answer
+  kCrowd,      // idle clients connect to a relay
+  kKill,       // relay: SIGKILL and restart
+  kTerminate,  // relay: SIGTERM, SIGKILL after a time-out, and restart
+  kRolling,    // all relays are terminated and restarted one after the other
+  kMove,       // relay: its discovery agent moves to another port, SIGHUP
+  kNotices,    // notices are read, but acknowledged only when the event ends
+  kLose        // relay: SIGKILL, loss of its folder, and restart
 };
 
 struct EventSpec {
   double at_s = 0;
   double for_s = 0;
-  int times = 1;       // it happens so often,
-  double every_s = 0;  // so long apart
+  int times = 1;       // number of occurrences,
+  double every_s = 0;  // and the time between their starts
   Action action = Action::kSilent;
-  std::string kind;     // targets: partners of this kind,
-  std::string partner;  // this one,
-  int largest = 0;      // so many of the largest,
-  double share = 0;     // or as many as get this share of the traffic
-  int relay = -1;       // -1: drawn
-  double amount = 0;    // the share or factor of the action
+  std::string kind;     // target partners: those of this kind,
+  std::string partner;  // the one with this name,
+  int largest = 0;      // this many with the most traffic,
+  double share = 0;     // or a random set with this share of the traffic
+  int relay = -1;       // target relay; -1: drawn at random
+  double amount = 0;    // share, factor, rate or seconds, as the action needs
   bool wait_told = false;
-  double linger_s = 0;       // replacing: one that has left the list is still reachable for so long
-  bool same_address = true;  // replacing: some newcomers come up where one has gone
+  double linger_s = 0;       // kReplace: how long an endpoint stays reachable after it left the list
+  bool same_address = true;  // kReplace: some new endpoints take the address of a removed one
   std::string where;         // file:line:column
 };
 
-// What a scenario asks of the outcome beside the rules, for what is lost in worth and not in a rule.
+// Requirements on the outcome beside the rules, for faults that cost worth but break no rule.
 struct ExpectSpec {
-  std::string of_class;   // empty: all
-  std::string of_tenant;  // in place of a class
-  double delivered = 0;   // at least this share of what was asked
-  double in_time = 0;     // and of these, at least
-  double failed = 1;      // at most
-  double refused = 1;     // for good, at most
-  double attempts = 0;    // for each message at most, over all classes; 0: any
+  std::string of_class;   // empty: all classes
+  std::string of_tenant;  // instead of a class
+  double delivered = 0;   // minimum share of the messages delivered
+  double in_time = 0;     // minimum share of the messages delivered in time
+  double failed = 1;      // maximum share that failed
+  double refused = 1;     // maximum share given up after refusals
+  double attempts = 0;    // maximum attempts per message over all classes; 0: not checked
   std::string where;
 };
 
@@ -144,44 +146,44 @@
   int relays = 2;
   int sockets = 1024;
   bool group_durability = false;
-  bool fleet = false;  // the relays agree among themselves; the first three, or five of nine and more, vote
+  bool fleet = false;  // run a fleet; the first three relays are voters, or five if there are nine or more
   int memory_mb = 192;
   double disk_mb = 3;
-  double cores = 0;         // of a core that it gets; 0: as much as there is
-  double slots_room = 2.2;  // calls out at once, over what full load keeps busy
-  int least_slots = 4;
-  double hold_s = 8;  // of full load that a relay may hold
-  int least_open = 16;
-  double restart_s = 0.6;  // from the end of a process to the next
+  double cores = 0;         // CPU quota of a relay in cores; 0: unlimited
+  double slots_room = 2.2;  // concurrent calls as a multiple of those at full load
+  int least_slots = 4;      // lower bound of Plan::slots
+  double hold_s = 8;        // messages that a relay may hold, in seconds of full load
+  int least_open = 16;      // lower bound of Plan::max_open
+  double restart_s = 0.6;   // from the exit of a process to the start of the next
   // partners
   int partners = 16;
-  double zipf = 0.8;
+  double zipf = 0.8;  // exponent of the traffic distribution
   int zones = 2;
-  ValueRange lag_s{1.4, 4.9};  // of discovery
-  bool known_at_first =
-      false;           // each start is given the list as it was at the first; else as its agent has it
-  double idle_s = 10;  // an endpoint closes an idle connection
+  ValueRange lag_s{1.4, 4.9};   // lag of discovery
+  bool known_at_first = false;  // relays restart with the list of their first start, not the current one
+  double idle_s = 10;           // an endpoint closes a connection idle for this long
   double connect_timeout_s = 1;
   // clients
   int retries = 2;
-  double honour = 0.7;  // share of clients that heed the told time
+  double honour = 0.7;  // share of clients that wait as long as a refusal asks
   ValueRange backoff_ms{360, 1400};
-  ValueRange notice_s{1.2, 3.8};  // until the front notices a dead relay
-  ValueRange again_s{0.35, 2};    // until what a dead relay held comes again
+  ValueRange notice_s{1.2, 3.8};  // until clients stop using a relay that has exited
+  ValueRange again_s{0.35, 2};    // until messages of an exited relay are resubmitted
   LateWorthDecay late = LateWorthDecay::kHalving;
-  double over_share_worth = 1;  // what a tenant's message beyond its quota is worth
+  double over_share_worth = 1;  // relative worth of a tenant's messages beyond its quota
   int max_attempts = 6;
   bool probes = true;
-  RuleParameters rule_parameters;  // classes are filled in from below
+  RuleParameters rule_parameters;  // `classes` is filled in from the [[class]] tables
   LoadSpec load;
   std::vector<KindSpec> kinds;
   std::vector<ClassSpec> classes;
-  std::vector<TenantSpec> tenants;  // empty: messages name none
+  std::vector<TenantSpec> tenants;  // empty: messages carry no tenant
   std::vector<EventSpec> events;
   std::vector<ExpectSpec> expects;
 };
 
-// `sets` are key=value pairs that replace a value of the text, such as "load.rate=200".
+// `sets` holds key=value pairs that override values of the text, such as "load.rate=200". Throws
+// ScenarioError.
 Scenario parse_scenario(const std::string& text, const std::string& name,
                         const std::vector<std::string>& sets);
 Scenario load_scenario(const std::string& file_or_name, const std::vector<std::string>& sets);
@@ -193,7 +195,7 @@
 };
 const std::vector<BundledScenario>& bundled_scenarios();
 
-std::string describe(const Scenario& scenario);  // for `check`: what will be played, in words
+std::string describe(const Scenario& scenario);  // the text printed by `check`
 const char* action_name(Action action);
 
 }  // namespace umberhoist::rehearsal
