--- a/rehearsal/main.cpp
+++ b/rehearsal/main.cpp
@@ -1,4 +1,5 @@
-// umberhoist-rehearse: plays a day against the real daemon on this machine and judges it by what was seen.
+// umberhoist-rehearse: runs a scenario against the real daemon on this machine and checks the observed
+// behaviour.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -11,9 +12,9 @@
 
 using namespace umberhoist::rehearsal;
 
-constexpr int kWrongCall = 2;
+constexpr int kUsageError = 2;
 
-std::filesystem::path own_folder() {
+std::filesystem::path executable_folder() {
   std::error_code error;
   const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
   return error ? std::filesystem::path(".") : self.parent_path();
@@ -23,21 +24,21 @@
         bool temporary) {
   const Scenario scenario = load_scenario(name, sets);
   if (!seed_given) options.seed = scenario.seed;
-  make_plan(scenario, options.seed);  // what cannot be played is an error before anything starts
+  make_plan(scenario, options.seed);  // reports an unplayable scenario before starting anything
   if (::access(options.relay.c_str(), X_OK) != 0) {
     throw ScenarioError("--relay " + options.relay +
                         ": expected the program umberhoist, built and executable");
   }
-  const RunReport outcome = run_rehearsal(scenario, options);
-  std::fputs(summary(scenario, options, outcome).c_str(), stdout);
-  if (temporary && outcome.verdict == RunVerdict::kPassed) {
+  const RunReport result = run_rehearsal(scenario, options);
+  std::fputs(summary(scenario, options, result).c_str(), stdout);
+  if (temporary && result.verdict == RunVerdict::kPassed) {
     std::error_code ignored;
     std::filesystem::remove_all(options.folder, ignored);
   } else {
-    write_report(scenario, options, outcome);
+    write_report(scenario, options, result);
     std::printf("report: %s\n", (options.folder / "report.html").c_str());
   }
-  return static_cast<int>(outcome.verdict);
+  return static_cast<int>(result.verdict);
 }
 
 }  // namespace
@@ -49,7 +50,7 @@
   std::string scenario, report;
   std::vector<std::string> sets;
   RunOptions options;
-  options.relay = own_folder() / "umberhoist";
+  options.relay = executable_folder() / "umberhoist";
   bool quiet = false;
   CLI::App* play = app.add_subcommand("run", "play a scenario: a file, or the name of one that ships");
   play->add_option("scenario", scenario)->required();
@@ -68,7 +69,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kWrongCall;
+    return app.exit(error) == 0 ? 0 : kUsageError;
   }
   try {
     if (list->parsed()) {
@@ -98,7 +99,7 @@
     return run(scenario, sets, options, seed->count() > 0, report.empty());
   } catch (const ScenarioError& error) {
     std::fprintf(stderr, "umberhoist-rehearse: %s\n", error.what());
-    return kWrongCall;
+    return kUsageError;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "umberhoist-rehearse: %s\n", error.what());
     return 1;
--- a/rehearsal/relay_config.cpp
+++ b/rehearsal/relay_config.cpp
@@ -8,12 +8,13 @@
 
 json relay_config(const Scenario& s, const Plan& plan, int relay, uint64_t seed, const std::string& listen,
                   const std::string& discovery, const std::string& known) {
-  json zones = json::array(), kinds = json::array(), apart = json::array(), batch = json::array();
+  json zones = json::array(), kinds = json::array(), independent_endpoints = json::array(),
+       batch_sizes = json::array();
   for (int i = 0; i < s.zones; ++i) zones.push_back(zone_name(i));
   for (const KindSpec& kind : s.kinds) {
     kinds.push_back(kind.name);
-    apart.push_back(false);
-    batch.push_back(1);
+    independent_endpoints.push_back(false);
+    batch_sizes.push_back(1);
   }
   json classes = json::array();
   for (const ClassSpec& c : s.classes) {
@@ -39,8 +40,8 @@
                          {"categories", classes},
                          {"family_info",
                           {{"calls_out", plan.slots},
-                           {"kind_apart", apart},
-                           {"kind_batch", batch},
+                           {"kind_apart", independent_endpoints},
+                           {"kind_batch", batch_sizes},
                            {"late", s.late == LateWorthDecay::kLinear ? "line" : "halves"}}},
                          {"bounds",
                           {{"open_cap", plan.max_open},
@@ -91,7 +92,7 @@
     out += "[[voter]]\nname = \"n" + std::to_string(i) + "\"\nid = " + std::to_string(i + 1) +
            "\naddress = \"" + addresses[i] + "\"\n";
   }
-  // A rehearsal is short: times in a third of what an installation would have.
+  // A rehearsal is short, so the times are a third of those of an installation.
   return out +
          "[timing]\nbeat_ms = 100\nlease_ms = 700\ndead_ms = 1000\nelection_ms = 400\nheartbeat_ms = 80\n"
          "settle_ms = 800\n";
--- a/rehearsal/relay_config.h
+++ b/rehearsal/relay_config.h
@@ -1,4 +1,4 @@
-// The configuration of a relay under rehearsal, in the form that the daemon reads.
+// Writes the configuration files of a relay under rehearsal, in the format that the daemon reads.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,12 +9,13 @@
 
 namespace umberhoist::rehearsal {
 
-// `known`: the list as JSON text, as the agent gives it.
+// `known` is the host list as JSON text, as returned by the discovery agent.
 nlohmann::json relay_config(const Scenario& scenario, const Plan& plan, int relay, uint64_t seed,
                             const std::string& listen, const std::string& discovery,
                             const std::string& known);
 
-// fleet.toml of a relay. `addresses`: of all relays, in their order; `folder`: its register's.
+// Returns the contents of fleet.toml for one relay. `addresses` holds the fleet addresses of all relays by
+// number; `folder` is the folder of its register.
 std::string fleet_config(const Scenario& scenario, int relay, const std::vector<std::string>& addresses,
                          const std::string& folder);
 
--- a/rehearsal/report.cpp
+++ b/rehearsal/report.cpp
@@ -14,13 +14,13 @@
 
 using nlohmann::json;
 
-std::string text(const char* form, auto... values) {
+std::string format(const char* pattern, auto... values) {
   char out[512];
-  std::snprintf(out, sizeof out, form, values...);
+  std::snprintf(out, sizeof out, pattern, values...);
   return out;
 }
 
-const char* verdict(RunVerdict result) {
+const char* verdict_text(RunVerdict result) {
   switch (result) {
     case RunVerdict::kPassed:
       return "all rules kept";
@@ -35,10 +35,10 @@
   return whole == 0 ? 0 : 100.0 * static_cast<double>(part) / static_cast<double>(whole);
 }
 
-std::string breach_line(const Violation& b, bool doubtful) {
+std::string violation_line(const Violation& b, bool uncertain) {
   std::string out = std::string(rule_name(b.rule));
   if (rule_number(b.rule) > 0) out += " (rule " + std::to_string(rule_number(b.rule)) + ")";
-  if (doubtful) out += " [doubtful: the kit ran late]";
+  if (uncertain) out += " [doubtful: the kit ran late]";
   if (b.relay >= 0) out += ", relay " + std::to_string(b.relay);
   if (b.destination >= 0) out += ", partner p" + std::to_string(b.destination);
   if (b.message != 0) out += ", message " + std::to_string(b.message) + " id " + hex(b.id);
@@ -68,14 +68,14 @@
   return out;
 }
 
-// The most that any relay used, beside what it may. Bytes in MB of a million: the stricter reading.
-struct Most {
+// Highest usage of any relay. Sizes are in MB of 10^6 bytes, the stricter reading of the limits.
+struct PeakUsage {
   double memory = 0, disk = 0, busiest = 0;
   int descriptors = 0, sockets = 0;
 };
 
-Most most_used(const RunReport& o) {
-  Most out;
+PeakUsage peak_usage(const RunReport& o) {
+  PeakUsage out;
   for (const RelayUsage& use : o.relay_usage) {
     out.memory = std::max(out.memory, static_cast<double>(use.peak_memory) / 1e6);
     out.disk = std::max(out.disk, static_cast<double>(use.peak.disk) / 1e6);
@@ -87,12 +87,12 @@
 }
 
 std::string limits_table(const Scenario& s, const RunReport& o) {
-  const Most most = most_used(o);
-  return text(
+  const PeakUsage most = peak_usage(o);
+  return format(
       "the most of one relay: %.1f of %d MB memory, %.3f of %.3f MB disk, %d of %d descriptors, %d sockets, "
       "%.0f%% of a core%s\n",
       most.memory, s.memory_mb, most.disk, s.disk_mb, most.descriptors, s.sockets, most.sockets,
-      100 * most.busiest, s.cores > 0 ? text(" of %.0f%%", 100 * s.cores).c_str() : "");
+      100 * most.busiest, s.cores > 0 ? format(" of %.0f%%", 100 * s.cores).c_str() : "");
 }
 
 // ---- HTML ----
@@ -117,21 +117,22 @@
 
 struct Series {
   std::string name;
-  std::vector<double> values;  // one a second
+  std::vector<double> values;  // one per second
 };
 
-constexpr const char* kColours[] = {"#2563a8", "#c4662b", "#3b8a4c", "#a03e78",
-                                    "#8a7a22", "#5b5b5b", "#1b9ba0", "#b03030"};
+constexpr const char* kSeriesColours[] = {"#2563a8", "#c4662b", "#3b8a4c", "#a03e78",
+                                          "#8a7a22", "#5b5b5b", "#1b9ba0", "#b03030"};
 
-// The events of the script as marks along the top: a bar as long as each lasts, and its name when pointed at.
-std::string marks(const RunReport& o, double span, double left, double width, double top, double height) {
+// Shaded areas for the scheduled events, each as wide as the event lasts, with its name as a tooltip.
+std::string event_marks(const RunReport& o, double span, double left, double width, double top,
+                        double height) {
   std::string out;
   for (const EventPlan& e : o.events) {
     const double x = left + width * std::min(1.0, static_cast<double>(e.at) / 1e6 / span);
     const double w = std::max(1.5, width * static_cast<double>(e.duration) / 1e6 / span);
-    out += text("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" class=\"mark\"><title>", x, top,
-                std::min(w, left + width - x), height) +
-           escape(text("%.1f s: ", static_cast<double>(e.at) / 1e6) + e.description) + "</title></rect>";
+    out += format("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" class=\"mark\"><title>", x, top,
+                  std::min(w, left + width - x), height) +
+           escape(format("%.1f s: ", static_cast<double>(e.at) / 1e6) + e.description) + "</title></rect>";
   }
   return out;
 }
@@ -146,7 +147,8 @@
     for (const double v : s.values) most = std::max(most, v);
   }
   if (most <= 0) most = 1;
-  double step = std::pow(10, std::floor(std::log10(most)) - 1);  // a round grid of at most six lines
+  double step =
+      std::pow(10, std::floor(std::log10(most)) - 1);  // grid step: a round number giving at most six lines
   for (const double factor : {2.0, 2.5, 2.0, 2.0, 2.5}) {
     if (most <= 6 * step) break;
     step *= factor;
@@ -156,29 +158,29 @@
   const double span = static_cast<double>(count - 1);
   std::string out = "<h3>" + escape(title) + " <small>" + escape(unit) +
                     "</small></h3><svg viewBox=\"0 0 860 190\" role=\"img\">";
-  out += marks(o, span, kLeft, width, kTop, height);
+  out += event_marks(o, span, kLeft, width, kTop, height);
   for (double v = 0; v <= most + step / 2; v += step) {
     const double y = kTop + height * (1 - v / most);
-    out += text(
+    out += format(
         "<line x1=\"%.0f\" x2=\"%.0f\" y1=\"%.1f\" y2=\"%.1f\" class=\"grid\"/><text x=\"%.0f\" y=\"%.1f\" "
         "text-anchor=\"end\">%g</text>",
         kLeft, kWidth - kRight, y, y, kLeft - 6, y + 4, v);
   }
   const int every = std::max(1, static_cast<int>(span / 8));
   for (int t = 0; t <= static_cast<int>(span); t += every) {
-    out += text("<text x=\"%.1f\" y=\"%.0f\" text-anchor=\"middle\">%d s</text>", kLeft + width * t / span,
-                kHeight - 6, t);
+    out += format("<text x=\"%.1f\" y=\"%.0f\" text-anchor=\"middle\">%d s</text>", kLeft + width * t / span,
+                  kHeight - 6, t);
   }
   std::string legend = "<p class=\"legend\">";
   for (size_t i = 0; i < all.size(); ++i) {
-    const char* colour = kColours[i % std::size(kColours)];
-    out += text("<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.6\" points=\"", colour);
+    const char* colour = kSeriesColours[i % std::size(kSeriesColours)];
+    out += format("<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.6\" points=\"", colour);
     for (size_t t = 0; t < all[i].values.size(); ++t) {
-      out += text("%.1f,%.1f ", kLeft + width * static_cast<double>(t) / span,
-                  kTop + height * (1 - all[i].values[t] / most));
+      out += format("%.1f,%.1f ", kLeft + width * static_cast<double>(t) / span,
+                    kTop + height * (1 - all[i].values[t] / most));
     }
     out += "\"/>";
-    legend += text("<span style=\"color:%s\">&#9632;</span> ", colour) + escape(all[i].name) + " &nbsp; ";
+    legend += format("<span style=\"color:%s\">&#9632;</span> ", colour) + escape(all[i].name) + " &nbsp; ";
   }
   return out + "</svg>" + legend + "</p>";
 }
@@ -253,36 +255,38 @@
     "0;background:#fdf3f2}"
     "pre{overflow-x:auto;font-size:12.5px}";
 
-std::string tally_lines(const char* of, const std::vector<MessageCounts>& tallies) {
-  std::string out = text("%-18s %9s %8s %8s %8s %8s %8s %8s %9s %9s\n", of, "asked", "in time", "late",
-                         "refused", "failed", "lost", "no end", "p50 ms", "p99 ms");
+std::string counts_text(const char* of, const std::vector<MessageCounts>& tallies) {
+  std::string out = format("%-18s %9s %8s %8s %8s %8s %8s %8s %9s %9s\n", of, "asked", "in time", "late",
+                           "refused", "failed", "lost", "no end", "p50 ms", "p99 ms");
   for (const MessageCounts& t : tallies) {
-    out += text("%-18s %9llu %7.1f%% %7.1f%% %7.1f%% %7.1f%% %8llu %8llu %9.1f %9.1f\n", t.name.c_str(),
-                static_cast<unsigned long long>(t.requested), percent(t.in_time, t.requested),
-                percent(t.late, t.requested), percent(t.refused, t.requested), percent(t.failed, t.requested),
-                static_cast<unsigned long long>(t.lost), static_cast<unsigned long long>(t.unanswered),
-                t.latency.quantile(0.5), t.latency.quantile(0.99));
+    out +=
+        format("%-18s %9llu %7.1f%% %7.1f%% %7.1f%% %7.1f%% %8llu %8llu %9.1f %9.1f\n", t.name.c_str(),
+               static_cast<unsigned long long>(t.requested), percent(t.in_time, t.requested),
+               percent(t.late, t.requested), percent(t.refused, t.requested), percent(t.failed, t.requested),
+               static_cast<unsigned long long>(t.lost), static_cast<unsigned long long>(t.unanswered),
+               t.latency.quantile(0.5), t.latency.quantile(0.99));
   }
   return out;
 }
 
-std::string tally_table(const char* title, const char* of, const std::vector<MessageCounts>& tallies) {
-  std::string out = text(
+std::string counts_table(const char* title, const char* of, const std::vector<MessageCounts>& tallies) {
+  std::string out = format(
       "<h2>%s</h2><table><tr><th>%s<th>asked<th>in time<th>late<th>refused<th>failed<th>lost with a "
       "machine<th>no end<th>p50 ms<th>p99 ms</tr>",
       title, of);
   for (const MessageCounts& t : tallies) {
-    out += "<tr><td>" + escape(t.name) +
-           text("<td>%llu<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%llu<td>%llu<td>%.1f<td>%.1f</tr>",
-                static_cast<unsigned long long>(t.requested), percent(t.in_time, t.requested),
-                percent(t.late, t.requested), percent(t.refused, t.requested), percent(t.failed, t.requested),
-                static_cast<unsigned long long>(t.lost), static_cast<unsigned long long>(t.unanswered),
-                t.latency.quantile(0.5), t.latency.quantile(0.99));
+    out +=
+        "<tr><td>" + escape(t.name) +
+        format("<td>%llu<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%llu<td>%llu<td>%.1f<td>%.1f</tr>",
+               static_cast<unsigned long long>(t.requested), percent(t.in_time, t.requested),
+               percent(t.late, t.requested), percent(t.refused, t.requested), percent(t.failed, t.requested),
+               static_cast<unsigned long long>(t.lost), static_cast<unsigned long long>(t.unanswered),
+               t.latency.quantile(0.5), t.latency.quantile(0.99));
   }
   return out + "</table>";
 }
 
-nlohmann::json tally_json(const std::vector<MessageCounts>& tallies) {
+nlohmann::json counts_json(const std::vector<MessageCounts>& tallies) {
   nlohmann::json out = nlohmann::json::array();
   for (const MessageCounts& t : tallies) {
     out.push_back({{"name", t.name},
@@ -304,22 +308,23 @@
 
 std::string summary(const Scenario& s, const RunOptions& options, const RunReport& o) {
   std::ostringstream out;
-  out << s.name << ", seed " << options.seed << ", digest " << hex(o.digest) << ": " << verdict(o.verdict);
+  out << s.name << ", seed " << options.seed << ", digest " << hex(o.digest) << ": "
+      << verdict_text(o.verdict);
   if (!o.reason.empty()) out << " (" << o.reason << ")";
   out << "\n";
-  out << tally_lines("class", o.class_counts);
-  if (!o.tenant_counts.empty()) out << tally_lines("tenant", o.tenant_counts);
+  out << counts_text("class", o.class_counts);
+  if (!o.tenant_counts.empty()) out << counts_text("tenant", o.tenant_counts);
   const double messages = std::max<double>(1, static_cast<double>(o.messages));
-  out << text(
+  out << format(
       "worth %.3f; %.2f attempts and %.2f handings-in a message; CPU a message: relays %.0f us, kit %.0f "
       "us\n",
       worth_share(s, o), static_cast<double>(o.attempts) / messages,
       static_cast<double>(o.submissions) / messages, static_cast<double>(relay_cpu(o)) / messages,
       static_cast<double>(o.timing.cpu) / messages);
   out << limits_table(s, o);
-  out << text("the kit's own lateness: p50 %.2f ms, p99 %.2f ms, longest stall %.1f ms\n",
-              o.timing.send_delay.quantile(0.5), o.timing.send_delay.quantile(0.99),
-              static_cast<double>(o.timing.longest_stall) / 1e3);
+  out << format("the kit's own lateness: p50 %.2f ms, p99 %.2f ms, longest stall %.1f ms\n",
+                o.timing.send_delay.quantile(0.5), o.timing.send_delay.quantile(0.99),
+                static_cast<double>(o.timing.longest_stall) / 1e3);
   for (const std::string& note : o.notes) out << "note: " << note << "\n";
   if (o.violation_count > 0) {
     out << "\n" << o.violation_count << " BREACHES:";
@@ -328,8 +333,8 @@
     std::map<std::string, int> shown;
     for (size_t i = 0; i < o.violations.size(); ++i) {
       const Violation& b = o.violations[i];
-      if (++shown[rule_name(b.rule)] > 3) continue;  // the report has them all
-      out << "\n" << breach_line(b, o.uncertain.size() > i && o.uncertain[i]) << "\n";
+      if (++shown[rule_name(b.rule)] > 3) continue;  // the report file lists all of them
+      out << "\n" << violation_line(b, o.uncertain.size() > i && o.uncertain[i]) << "\n";
       for (const std::string& line : b.history) out << "  " << line << "\n";
     }
   }
@@ -389,8 +394,8 @@
     out["used"].push_back(std::move(one));
   }
   out["by_rule"] = by_rule(o);
-  out["classes"] = tally_json(o.class_counts);
-  out["tenants"] = tally_json(o.tenant_counts);
+  out["classes"] = counts_json(o.class_counts);
+  out["tenants"] = counts_json(o.tenant_counts);
   out["events"] = json::array();
   for (const EventPlan& e : o.events) {
     out["events"].push_back({{"at_s", static_cast<double>(e.at) / 1e6},
@@ -445,9 +450,9 @@
       "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Rehearsal: " + escape(s.name) +
       "</title><style>" + kStyle + "</style><h1>" + escape(s.name) + " <small>" + escape(s.title) +
       "</small></h1>";
-  out += text("<p class=\"verdict k%d\">", static_cast<int>(o.verdict)) + std::string(verdict(o.verdict)) +
-         (o.reason.empty() ? "" : ": " + escape(o.reason)) + "</p>";
-  out += text(
+  out += format("<p class=\"verdict k%d\">", static_cast<int>(o.verdict)) +
+         std::string(verdict_text(o.verdict)) + (o.reason.empty() ? "" : ": " + escape(o.reason)) + "</p>";
+  out += format(
       "<p>Seed %llu, digest %s, %.1f s, %llu messages, %d relay(s), %d partners. Worth earned: %.3f of what "
       "was asked for.</p>",
       static_cast<unsigned long long>(options.seed), hex(o.digest).c_str(), o.seconds,
@@ -456,7 +461,7 @@
     out += "<h2>Breaches: " + std::to_string(o.violation_count) + "</h2>";
     for (size_t i = 0; i < o.violations.size(); ++i) {
       out += "<details" + std::string(i < 3 ? " open" : "") + "><summary>" +
-             escape(breach_line(o.violations[i], o.uncertain.size() > i && o.uncertain[i])) + "</summary>";
+             escape(violation_line(o.violations[i], o.uncertain.size() > i && o.uncertain[i])) + "</summary>";
       if (!o.violations[i].history.empty()) {
         out += "<pre>";
         for (const std::string& line : o.violations[i].history) out += escape(line) + "\n";
@@ -465,8 +470,8 @@
       out += "</details>";
     }
   }
-  out += tally_table("Classes", "class", o.class_counts);
-  if (!o.tenant_counts.empty()) out += tally_table("Tenants", "tenant", o.tenant_counts);
+  out += counts_table("Classes", "class", o.class_counts);
+  if (!o.tenant_counts.empty()) out += counts_table("Tenants", "tenant", o.tenant_counts);
   out +=
       "<h2>Over time</h2><p class=\"legend\">Shaded: what the script did; point at it for its "
       "name.</p>" +
@@ -479,21 +484,21 @@
   for (size_t i = 0; i < o.relay_usage.size(); ++i) {
     const RelayUsage& use = o.relay_usage[i];
     out +=
-        text("<tr><td>%zu<td>%.1f of %d<td>%.3f of %.3f<td>%zu<td>%d of %d<td>%d of %d<td>%d<td>%.0f%%<td>",
-             i, static_cast<double>(use.peak_memory) / 1e6, s.memory_mb,
-             static_cast<double>(use.peak.disk) / 1e6, s.disk_mb, use.peak.files, use.peak.descriptors,
-             s.sockets, use.peak.sockets, s.sockets, use.peak.processes, 100 * use.peak_cpu_share) +
-        (use.growth.evaluated ? text("%.2f", use.growth.mb_per_minute) : "run too short") + "</tr>";
+        format("<tr><td>%zu<td>%.1f of %d<td>%.3f of %.3f<td>%zu<td>%d of %d<td>%d of %d<td>%d<td>%.0f%%<td>",
+               i, static_cast<double>(use.peak_memory) / 1e6, s.memory_mb,
+               static_cast<double>(use.peak.disk) / 1e6, s.disk_mb, use.peak.files, use.peak.descriptors,
+               s.sockets, use.peak.sockets, s.sockets, use.peak.processes, 100 * use.peak_cpu_share) +
+        (use.growth.evaluated ? format("%.2f", use.growth.mb_per_minute) : "run too short") + "</tr>";
   }
   out += "</table><h2>Script</h2><table><tr><th>what<th>at<th>for</tr>";
   for (const EventPlan& e : o.events) {
     out += "<tr><td>" + escape(e.description) +
-           text("<td>%.1f s<td>%.1f s</tr>", static_cast<double>(e.at) / 1e6,
-                static_cast<double>(e.duration) / 1e6);
+           format("<td>%.1f s<td>%.1f s</tr>", static_cast<double>(e.at) / 1e6,
+                  static_cast<double>(e.duration) / 1e6);
   }
   out += "</table>";
   for (const std::string& note : o.notes) out += "<p>" + escape(note) + "</p>";
-  out += text(
+  out += format(
       "<h2>The kit itself</h2><p>Messages were handed in %.2f ms late at the median and %.2f ms at 99%%; its "
       "longest stall was %.1f ms, and it used %.1f s of CPU.</p></html>\n",
       o.timing.send_delay.quantile(0.5), o.timing.send_delay.quantile(0.99),
--- a/rehearsal/report.h
+++ b/rehearsal/report.h
@@ -1,4 +1,4 @@
-// What a rehearsal found: for the terminal, as JSON, and as one HTML page that needs nothing beside it.
+// Formats the result of a rehearsal for the terminal, as JSON, and as one self-contained HTML page.
 #pragma once
 
 #include <filesystem>
@@ -12,7 +12,7 @@
 std::string report_json(const Scenario& scenario, const RunOptions& options, const RunReport& outcome);
 std::string report_html(const Scenario& scenario, const RunOptions& options, const RunReport& outcome);
 
-// report.json and report.html; throws std::runtime_error if one cannot be written.
+// Writes report.json and report.html to the run's folder. Throws std::runtime_error if one cannot be written.
 void write_report(const Scenario& scenario, const RunOptions& options, const RunReport& outcome);
 
 }  // namespace umberhoist::rehearsal
