--- a/tests/rehearsal/plan_test.cpp
+++ b/tests/rehearsal/plan_test.cpp
@@ -1,4 +1,4 @@
-// Scenarios and what a seed makes of them.
+// Unit tests of reading scenarios and of the plans drawn from them.
 #include "rehearsal/plan.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace umberhoist::rehearsal {
 namespace {
 
-const std::string kLeast = R"toml(seconds = 20
+const std::string kMinimalScenario = R"toml(seconds = 20
 [load]
 rate = 100
 [[kind]]
@@ -49,30 +49,31 @@
     std::string expected;  // how the error begins
   };
   for (const auto& [text, expected] : std::vector<Case>{
-           {"seconds = \"x\"\n" + kLeast.substr(13),
+           {"seconds = \"x\"\n" + kMinimalScenario.substr(13),
             "s.toml:1:11: 'seconds' of the scenario: expected a number"},
-           {kLeast + "shares = 2\n", "s.toml:9:1: [class] knows no 'shares'"},
-           {kLeast + "give_up_s = -1\n", "s.toml:9:13: 'give_up_s' of [class]: expected a number"},
-           {kLeast + "kinds = [\"none\"]\n", "s.toml:9:9: 'kinds' of [class]: expected names of [[kind]]"},
-           {kLeast + "[[event]]\nat_s = 1\ndo = \"explode\"\n",
+           {kMinimalScenario + "shares = 2\n", "s.toml:9:1: [class] knows no 'shares'"},
+           {kMinimalScenario + "give_up_s = -1\n", "s.toml:9:13: 'give_up_s' of [class]: expected a number"},
+           {kMinimalScenario + "kinds = [\"none\"]\n",
+            "s.toml:9:9: 'kinds' of [class]: expected names of [[kind]]"},
+           {kMinimalScenario + "[[event]]\nat_s = 1\ndo = \"explode\"\n",
             "s.toml:11:6: 'do' of [event]: expected one of blackout"},
-           {kLeast + "[[event]]\nat_s = 1\ndo = \"silent\"\nfor_s = 2\n",
+           {kMinimalScenario + "[[event]]\nat_s = 1\ndo = \"silent\"\nfor_s = 2\n",
             "s.toml:9:1: [event] 'silent' says nobody"},
-           {kLeast + "[[event]]\nat_s = 1\ndo = \"fail\"\nfor_s = 2\nlargest = 1\n",
+           {kMinimalScenario + "[[event]]\nat_s = 1\ndo = \"fail\"\nfor_s = 2\nlargest = 1\n",
             "s.toml:9:1: [event] 'fail': expected amount"},
-           {kLeast + "[[event]]\ndo = \"kill\"\n", "s.toml:9:1: [event] has no 'at_s'"},
-           {kLeast + "[load\n", "s.toml:9:"},
+           {kMinimalScenario + "[[event]]\ndo = \"kill\"\n", "s.toml:9:1: [event] has no 'at_s'"},
+           {kMinimalScenario + "[load\n", "s.toml:9:"},
            {"seconds = 20\n", "s.toml:1:1: the scenario has no 'kind'"}}) {
     EXPECT_TRUE(error_of(text).starts_with(expected)) << error_of(text) << "\nnot " << expected;
   }
 }
 
 TEST(Scenario, ASetReplacesOneValueAndIsCheckedLikeIt) {
-  EXPECT_EQ(parse_scenario(kLeast, "s.toml", {"load.rate=250", "relays.count=3"}).load.rate, 250);
-  EXPECT_NE(error_of(kLeast, {"load.rate=-1"}), "");
-  EXPECT_NE(error_of(kLeast, {"load.rat=1"}), "");
-  EXPECT_NE(error_of(kLeast, {"rate"}), "");
-  EXPECT_NE(error_of(kLeast, {"seconds.x=1"}), "");
+  EXPECT_EQ(parse_scenario(kMinimalScenario, "s.toml", {"load.rate=250", "relays.count=3"}).load.rate, 250);
+  EXPECT_NE(error_of(kMinimalScenario, {"load.rate=-1"}), "");
+  EXPECT_NE(error_of(kMinimalScenario, {"load.rat=1"}), "");
+  EXPECT_NE(error_of(kMinimalScenario, {"rate"}), "");
+  EXPECT_NE(error_of(kMinimalScenario, {"seconds.x=1"}), "");
 }
 
 TEST(Plan, OneSeedGivesTheSameRunEachTimeAndAnotherSeedAnother) {
--- a/tests/rehearsal/planted_test.cpp
+++ b/tests/rehearsal/planted_test.cpp
@@ -1,5 +1,6 @@
-// The kit as a program: each planted fault is reported as its own rule, with exit status 1 and the message's
-// history; the healthy daemon passes the same scenario; wrong calls start nothing.
+// End-to-end tests of umberhoist-rehearse. A daemon with a planted fault is reported under the rule it
+// breaks, with exit status 1 and the message's history; the daemon without a fault passes the same scenario;
+// wrong arguments start nothing.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -26,16 +27,16 @@
   std::filesystem::path path;
 };
 
-pid_t start(const std::vector<std::string>& words, const std::filesystem::path& out) {
+pid_t start(const std::vector<std::string>& arguments, const std::filesystem::path& output) {
   std::vector<char*> argv;
   const std::string program = REHEARSE;
   argv.push_back(const_cast<char*>(program.c_str()));
-  for (const std::string& word : words) argv.push_back(const_cast<char*>(word.c_str()));
+  for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
-  const std::string out_name = out;
+  const std::string output_file = output;
   const pid_t child = ::fork();
   if (child == 0) {
-    if (::freopen(out_name.c_str(), "w", stdout) == nullptr || ::dup2(1, 2) < 0) ::_exit(126);
+    if (::freopen(output_file.c_str(), "w", stdout) == nullptr || ::dup2(1, 2) < 0) ::_exit(126);
     ::execv(program.c_str(), argv.data());
     ::_exit(127);
   }
@@ -53,8 +54,8 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// One relay and a small world. Each scenario adds what brings the fault out.
-const std::string kWorld = R"toml(
+// One relay and a few partners. Each test case adds the events that expose its fault.
+const std::string kBaseScenario = R"toml(
 seconds = 6
 [relays]
 count = 1
@@ -94,50 +95,50 @@
 const std::string kShut = "[[event]]\nat_s = 1\nfor_s = 3\ndo = \"shut\"\nkind = \"std\"\n";
 const std::string kToldShut = kShut + "wait_told = true\n";
 
-// The world that the rules' own faults are played in, and the short scenarios that ship by their names.
-struct Play {
-  std::string name;                    // of a scenario that ships, or of this test's own
-  std::string events = {};             // its own: kWorld with these
-  std::vector<std::string> sets = {};  // key=value
-  std::string spare = "spare = 3";     // of the partners' capacity
+// A scenario to run: kBaseScenario with additional events, or a bundled scenario.
+struct ScenarioCase {
+  std::string name;                    // of a bundled scenario if `events` is empty, else of the test case
+  std::string events = {};             // TOML appended to kBaseScenario
+  std::vector<std::string> sets = {};  // values for --set, as key=value
+  std::string spare = "spare = 3";     // replaces the partners' spare capacity in kBaseScenario
 };
 
-struct Case {
+struct FaultCase {
   std::string fault;
   std::string rule;
-  Play play;
+  ScenarioCase scenario;
 };
 
-std::ostream& operator<<(std::ostream& out, const Case& c) { return out << c.fault; }
-std::ostream& operator<<(std::ostream& out, const Play& p) { return out << p.name; }
+std::ostream& operator<<(std::ostream& out, const FaultCase& c) { return out << c.fault; }
+std::ostream& operator<<(std::ostream& out, const ScenarioCase& p) { return out << p.name; }
 
-struct Played {
+struct RunResult {
   int status = 0;
   json report;
   std::string out;
 };
 
-// A soak plays more seeds than one: UMBERHOIST_SEEDS=5 ctest -R Planted
+// Number of seeds to run, 1 by default. For a soak test: UMBERHOIST_SEEDS=5 ctest -R Planted
 int seeds() {
   const char* wanted = std::getenv("UMBERHOIST_SEEDS");
   return wanted == nullptr ? 1 : std::max(1, std::atoi(wanted));
 }
 
-Played play(const std::string& relay, const Play& p, int seed) {
+RunResult run_scenario(const std::string& relay, const ScenarioCase& p, int seed) {
   const Folder folder;
   std::string scenario = p.name;
   if (!p.events.empty()) {
-    std::string world = kWorld;
-    world.replace(world.find("spare = 3"), 9, p.spare);
+    std::string text = kBaseScenario;
+    text.replace(text.find("spare = 3"), 9, p.spare);
     scenario = folder.path / "s.toml";
-    std::ofstream(scenario) << world << kClasses << p.events;
+    std::ofstream(scenario) << text << kClasses << p.events;
   }
-  std::vector<std::string> words = {"run",     scenario,   "--relay",
-                                    relay,     "--report", folder.path / "r",
-                                    "--quiet", "--seed",   std::to_string(seed)};
-  for (const std::string& set : p.sets) words.insert(words.end(), {"--set", set});
-  Played out;
-  out.status = wait_for(start(words, folder.path / "out"));
+  std::vector<std::string> arguments = {"run",     scenario,   "--relay",
+                                        relay,     "--report", folder.path / "r",
+                                        "--quiet", "--seed",   std::to_string(seed)};
+  for (const std::string& set : p.sets) arguments.insert(arguments.end(), {"--set", set});
+  RunResult out;
+  out.status = wait_for(start(arguments, folder.path / "out"));
   out.out = read(folder.path / "out");
   if (std::filesystem::exists(folder.path / "r/report.json"))
     out.report = json::parse(read(folder.path / "r/report.json"));
@@ -145,13 +146,13 @@
   return out;
 }
 
-class Planted : public ::testing::TestWithParam<Case> {};
+class Planted : public ::testing::TestWithParam<FaultCase> {};
 
 TEST_P(Planted, IsReportedAsItsOwnRule) {
-  const Case& c = GetParam();
+  const FaultCase& c = GetParam();
   ::setenv("UMBERHOIST_FAULT", c.fault.c_str(), 1);
   for (int seed = 1; seed <= seeds(); ++seed) {
-    const Played bad = play(PLANTED, c.play, seed);
+    const RunResult bad = run_scenario(PLANTED, c.scenario, seed);
     SCOPED_TRACE("seed " + std::to_string(seed));
     EXPECT_EQ(bad.status, 1) << bad.out;
     ASSERT_TRUE(bad.report.is_object()) << bad.out;
@@ -164,17 +165,17 @@
     if (own->at("message") != 0) {
       EXPECT_GE(own->at("history").size(), 2u);
     }
-    EXPECT_NE(bad.out.find(c.rule), std::string::npos);  // loudly
+    EXPECT_NE(bad.out.find(c.rule), std::string::npos);  // on the terminal, too
   }
 }
 
-// The same program without a fault, and the daemon itself: what is reported is the fault, not the scenario.
-class Healthy : public ::testing::TestWithParam<Play> {};
+// The daemon without a fault passes the same scenarios, so what is reported above is the fault.
+class Healthy : public ::testing::TestWithParam<ScenarioCase> {};
 
 TEST_P(Healthy, KeepsAllRules) {
   ::unsetenv("UMBERHOIST_FAULT");
   for (int seed = 1; seed <= seeds(); ++seed) {
-    const Played good = play(UMBERHOIST, GetParam(), seed);
+    const RunResult good = run_scenario(UMBERHOIST, GetParam(), seed);
     SCOPED_TRACE("seed " + std::to_string(seed));
     EXPECT_EQ(good.status, 0) << good.out;
     ASSERT_TRUE(good.report.is_object()) << good.out;
@@ -188,91 +189,98 @@
   return name;
 }
 
-const Play kResets{"resets", kReset};
-const Play kSilences{"silences", kSilence};
-const Play kHangs{"all-hang", kAllHang};
-const Play kQuiet{"replaced", kReplace};
-const Play kPushed{
+const ScenarioCase kResets{"resets", kReset};
+const ScenarioCase kSilences{"silences", kSilence};
+const ScenarioCase kHangs{"all-hang", kAllHang};
+const ScenarioCase kQuiet{"replaced", kReplace};
+const ScenarioCase kPushed{
     "returning", kAllHang, {"load.rate=200", "seconds=9", "relays.slots_room=50"}, "spare = 1"};
-const Play kFails{"failing", kFail, {"relays.max_attempts=2"}};
-const Play kShuts{"shut-and-told", kToldShut};
-// Room enough for what is alive, and a load that passes it within seconds if nothing is ever given back.
-const Play kSmallDisk{
+const ScenarioCase kFails{"failing", kFail, {"relays.max_attempts=2"}};
+const ScenarioCase kShuts{"shut-and-told", kToldShut};
+// The disk limit suffices for live records, but is exceeded within seconds if no space is ever reclaimed.
+const ScenarioCase kSmallDisk{
     "small-disk", kReplace, {"relays.disk_mb=0.3", "load.rate=150", "load.body_bytes=2000"}};
-const Play kFewSockets{"few-sockets", kReplace, {"relays.sockets=256"}};
+const ScenarioCase kFewSockets{"few-sockets", kReplace, {"relays.sockets=256"}};
 
 INSTANTIATE_TEST_SUITE_P(Kit, Healthy,
                          ::testing::Values(kResets, kSilences, kHangs, kQuiet, kPushed, kFails, kShuts,
-                                           kSmallDisk, kFewSockets, Play{"kept-messages"},
-                                           Play{"kept-attempts"}, Play{"kept-windows"}, Play{"kept-counts"},
-                                           Play{"kept-refusals"}, Play{"kept-notices"}, Play{"kept-ends"},
-                                           Play{"kept-kills"}, Play{"durable-kills"}, Play{"kept-drains"},
-                                           Play{"kept-partners"}, Play{"kept-outage"}, Play{"kept-return"},
-                                           Play{"kept-tokens"}, Play{"kept-known"}, Play{"race-waits"},
-                                           Play{"race-drains"}, Play{"race-windows"}, Play{"tenant-flood"}),
+                                           kSmallDisk, kFewSockets, ScenarioCase{"kept-messages"},
+                                           ScenarioCase{"kept-attempts"}, ScenarioCase{"kept-windows"},
+                                           ScenarioCase{"kept-counts"}, ScenarioCase{"kept-refusals"},
+                                           ScenarioCase{"kept-notices"}, ScenarioCase{"kept-ends"},
+                                           ScenarioCase{"kept-kills"}, ScenarioCase{"durable-kills"},
+                                           ScenarioCase{"kept-drains"}, ScenarioCase{"kept-partners"},
+                                           ScenarioCase{"kept-outage"}, ScenarioCase{"kept-return"},
+                                           ScenarioCase{"kept-tokens"}, ScenarioCase{"kept-known"},
+                                           ScenarioCase{"race-waits"}, ScenarioCase{"race-drains"},
+                                           ScenarioCase{"race-windows"}, ScenarioCase{"tenant-flood"}),
                          [](const auto& param) { return test_name(param.param.name); });
 
 INSTANTIATE_TEST_SUITE_P(
     Rules, Planted,
-    ::testing::Values(Case{"unsafe-again", "unsafe-repeated", kResets},
-                      Case{"key-window", "key-window", kSilences},
-                      Case{"two-at-once", "two-attempts-at-once", kQuiet}, Case{"drain", "drain", kQuiet},
-                      Case{"wait", "wait", kShuts}, Case{"wait-half", "wait", kShuts},
-                      Case{"no-notice", "lost", kResets}, Case{"late-notice", "notice-late", kHangs},
-                      Case{"notice-twice", "two-final-answers", kResets},
-                      Case{"pushes", "pushed-over", kPushed}, Case{"attempts", "attempts", kFails},
-                      Case{"wrong-endpoint", "wrong-endpoint", kQuiet}, Case{"wrong-body", "content", kQuiet},
-                      Case{"crash", "crash", kQuiet}),
+    ::testing::Values(FaultCase{"unsafe-again", "unsafe-repeated", kResets},
+                      FaultCase{"key-window", "key-window", kSilences},
+                      FaultCase{"two-at-once", "two-attempts-at-once", kQuiet},
+                      FaultCase{"drain", "drain", kQuiet}, FaultCase{"wait", "wait", kShuts},
+                      FaultCase{"wait-half", "wait", kShuts}, FaultCase{"no-notice", "lost", kResets},
+                      FaultCase{"late-notice", "notice-late", kHangs},
+                      FaultCase{"notice-twice", "two-final-answers", kResets},
+                      FaultCase{"pushes", "pushed-over", kPushed}, FaultCase{"attempts", "attempts", kFails},
+                      FaultCase{"wrong-endpoint", "wrong-endpoint", kQuiet},
+                      FaultCase{"wrong-body", "content", kQuiet}, FaultCase{"crash", "crash", kQuiet}),
     [](const auto& param) { return test_name(param.param.fault); });
 
-INSTANTIATE_TEST_SUITE_P(
-    Limits, Planted,
-    ::testing::Values(Case{"memory-held", "crash", kQuiet}, Case{"memory-burst", "crash", kQuiet},
-                      Case{"memory-helpers", "crash", kQuiet}, Case{"memory-temporary", "crash", kQuiet},
-                      Case{"disk-grows", "crash", kSmallDisk}, Case{"disk-many-files", "crash", kSmallDisk},
-                      Case{"disk-spool", "crash", kSmallDisk},
-                      Case{"sockets-in-helpers", "crash", kFewSockets}),
-    [](const auto& param) { return test_name(param.param.fault); });
+INSTANTIATE_TEST_SUITE_P(Limits, Planted,
+                         ::testing::Values(FaultCase{"memory-held", "crash", kQuiet},
+                                           FaultCase{"memory-burst", "crash", kQuiet},
+                                           FaultCase{"memory-helpers", "crash", kQuiet},
+                                           FaultCase{"memory-temporary", "crash", kQuiet},
+                                           FaultCase{"disk-grows", "crash", kSmallDisk},
+                                           FaultCase{"disk-many-files", "crash", kSmallDisk},
+                                           FaultCase{"disk-spool", "crash", kSmallDisk},
+                                           FaultCase{"sockets-in-helpers", "crash", kFewSockets}),
+                         [](const auto& param) { return test_name(param.param.fault); });
 
 INSTANTIATE_TEST_SUITE_P(
     Kept, Planted,
-    ::testing::Values(Case{"forgets-at-restart", "lost", {"kept-messages"}},
-                      Case{"ok-before-journal", "lost", {"kept-messages"}},
-                      Case{"forgets-what-may-have-run", "unsafe-repeated", {"kept-attempts"}},
-                      Case{"forgets-when-it-was-sent", "key-window", {"kept-windows"}},
-                      Case{"forgets-how-often", "attempts", {"kept-counts"}},
-                      Case{"forgets-what-never-ran", "expectation", {"kept-refusals"}},
-                      Case{"forgets-deliveries", "expectation", {"kept-ends"}},
-                      Case{"forgets-drains", "drain", {"kept-drains"}},
-                      Case{"forgets-gone", "drain", {"kept-drains"}},
-                      Case{"forgets-revision", "drain", {"kept-drains"}},
-                      Case{"forgets-destinations", "expectation", {"kept-partners"}},
-                      Case{"forgets-outages", "pushed-over", {"kept-outage"}},
-                      Case{"forgets-returns", "expectation", {"kept-return"}},
-                      Case{"forgets-rates", "expectation", {"kept-return"}},
-                      Case{"forgets-tokens", "expectation", {"kept-tokens"}},
-                      Case{"forgets-known", "expectation", {"kept-known"}},
-                      Case{"forgets-tenants", "expectation", {"tenant-flood"}},
-                      Case{"forgets-notices", "two-final-answers", {"kept-notices"}}),
+    ::testing::Values(FaultCase{"forgets-at-restart", "lost", {"kept-messages"}},
+                      FaultCase{"ok-before-journal", "lost", {"kept-messages"}},
+                      FaultCase{"forgets-what-may-have-run", "unsafe-repeated", {"kept-attempts"}},
+                      FaultCase{"forgets-when-it-was-sent", "key-window", {"kept-windows"}},
+                      FaultCase{"forgets-how-often", "attempts", {"kept-counts"}},
+                      FaultCase{"forgets-what-never-ran", "expectation", {"kept-refusals"}},
+                      FaultCase{"forgets-deliveries", "expectation", {"kept-ends"}},
+                      FaultCase{"forgets-drains", "drain", {"kept-drains"}},
+                      FaultCase{"forgets-gone", "drain", {"kept-drains"}},
+                      FaultCase{"forgets-revision", "drain", {"kept-drains"}},
+                      FaultCase{"forgets-destinations", "expectation", {"kept-partners"}},
+                      FaultCase{"forgets-outages", "pushed-over", {"kept-outage"}},
+                      FaultCase{"forgets-returns", "expectation", {"kept-return"}},
+                      FaultCase{"forgets-rates", "expectation", {"kept-return"}},
+                      FaultCase{"forgets-tokens", "expectation", {"kept-tokens"}},
+                      FaultCase{"forgets-known", "expectation", {"kept-known"}},
+                      FaultCase{"forgets-tenants", "expectation", {"tenant-flood"}},
+                      FaultCase{"forgets-notices", "two-final-answers", {"kept-notices"}}),
     [](const auto& param) { return test_name(param.param.fault); });
 
 INSTANTIATE_TEST_SUITE_P(Races, Planted,
-                         ::testing::Values(Case{"no-look-at-waits", "wait", {"race-waits"}},
-                                           Case{"no-look-at-drains", "drain", {"race-drains"}},
-                                           Case{"no-look-at-the-time", "key-window", {"race-windows"}}),
+                         ::testing::Values(FaultCase{"no-look-at-waits", "wait", {"race-waits"}},
+                                           FaultCase{"no-look-at-drains", "drain", {"race-drains"}},
+                                           FaultCase{"no-look-at-the-time", "key-window", {"race-windows"}}),
                          [](const auto& param) { return test_name(param.param.fault); });
 
 // ---- The program itself ----
 
 TEST(Rehearse, WrongCallsAndScenariosEndWith2AndStartNothing) {
   const Folder folder;
-  std::ofstream(folder.path / "bad.toml") << kWorld << kClasses << "[[event]]\nat_s = 1\ndo = \"explode\"\n";
+  std::ofstream(folder.path / "bad.toml")
+      << kBaseScenario << kClasses << "[[event]]\nat_s = 1\ndo = \"explode\"\n";
   struct Wrong {
-    std::vector<std::string> words;
+    std::vector<std::string> arguments;
     std::string expected;
   };
   const std::string bad = folder.path / "bad.toml";
-  for (const auto& [words, expected] : std::vector<Wrong>{
+  for (const auto& [arguments, expected] : std::vector<Wrong>{
            {{}, ""},
            {{"run"}, ""},
            {{"run", "no-such"}, "no-such: cannot be read; expected a file or one of calm"},
@@ -280,7 +288,7 @@
            {{"check", bad}, bad + ":31:6"},
            {{"run", "calm", "--set", "load.rate=x"}, "'rate' of [load]: expected a number"},
            {{"run", "calm", "--relay", folder.path / "none"}, "expected the program umberhoist"}}) {
-    EXPECT_EQ(wait_for(start(words, folder.path / "out")), 2);
+    EXPECT_EQ(wait_for(start(arguments, folder.path / "out")), 2);
     const std::string out = read(folder.path / "out");
     EXPECT_NE(out.find(expected), std::string::npos) << out;
   }
@@ -295,7 +303,7 @@
   EXPECT_NE(read(folder.path / "out").find("silent partners of kind merchant for 20 s"), std::string::npos);
 }
 
-// Ctrl-C ends every child and still writes the report so far.
+// Ctrl-C ends every child process and still writes a report.
 TEST(Rehearse, AnInterruptEndsEveryChildAndWritesTheReport) {
   const Folder folder;
   const std::string report = folder.path / "r";
@@ -309,7 +317,7 @@
   EXPECT_EQ(wait_for(child), 0) << read(folder.path / "out");
   const json written = json::parse(read(report + "/report.json"));
   EXPECT_EQ(written.at("interrupted"), true);
-  // No process has the relays' folders as its configuration any more.
+  // No relay process is left: none has a folder of this run in its environment.
   for (const auto& entry : std::filesystem::directory_iterator("/proc")) {
     const std::string environment = read(entry.path() / "environ");
     EXPECT_EQ(environment.find(report), std::string::npos) << entry.path();
