--- a/rehearsal/ledger.cpp
+++ b/rehearsal/ledger.cpp
@@ -93,7 +93,7 @@
   open_.emplace(arrival.message, open);
   ++message_count_;
   ++counts_at(at).arrivals;
-  for (MessageCounts* tally : counts_for(arrival)) ++tally->requested;
+  for (MessageCounts* counts : counts_for(arrival)) ++counts->requested;
 }
 
 void MessageTracker::bind_id(uint64_t id, uint32_t message, int relay) {
@@ -246,16 +246,16 @@
   if (it == open_.end()) return;
   OpenMessage& open = it->second;
   const ClassSpec& spec = scenario_.classes[open.arrival.message_class];
-  const auto tallies = counts_for(open.arrival);
+  const auto all_counts = counts_for(open.arrival);
   SecondCounts& now = counts_at(at);
   uint64_t MessageCounts::*count = nullptr;
   switch (reason) {
     case EndReason::kDelivered: {
       const Time took = at - open.arrived_at;
       count = static_cast<double>(took) <= spec.aim_s * 1e6 ? &MessageCounts::in_time : &MessageCounts::late;
-      for (MessageCounts* tally : tallies) {
-        tally->worth += worth_after(spec, took);
-        tally->latency.add(took);
+      for (MessageCounts* counts : all_counts) {
+        counts->worth += worth_after(spec, took);
+        counts->latency.add(took);
       }
       now.latency.add(took);
       ++now.delivered[open.arrival.message_class];
@@ -274,7 +274,7 @@
       count = &MessageCounts::unanswered;
       break;
   }
-  for (MessageCounts* tally : tallies) ++(tally->*count);
+  for (MessageCounts* counts : all_counts) ++(counts->*count);
   if (reason != EndReason::kDelivered) ++(reason == EndReason::kRefused ? now.refused : now.failed);
   unbind(open);
   open_.erase(it);
--- a/rehearsal/plan.cpp
+++ b/rehearsal/plan.cpp
@@ -35,7 +35,7 @@
   return out;
 }
 
-bool accepts_class(const Scenario& s, const ClassSpec& c, int kind) {
+bool kind_accepts_class(const Scenario& s, const ClassSpec& c, int kind) {
   return c.kinds.empty() || std::find(c.kinds.begin(), c.kinds.end(), s.kinds[kind].name) != c.kinds.end();
 }
 
@@ -46,7 +46,7 @@
     std::vector<double> sums;
     double sum = 0;
     for (const PartnerPlan& partner : partners) {
-      if (accepts_class(s, c, partner.kind)) sum += std::pow(partner.number + 1, -s.zipf);
+      if (kind_accepts_class(s, c, partner.kind)) sum += std::pow(partner.number + 1, -s.zipf);
       sums.push_back(sum);
     }
     if (sum <= 0) {
@@ -115,7 +115,7 @@
     ArrivalPlan out;
     out.at = to_microseconds(t);
     out.message_class = static_cast<uint16_t>(c);
-    if (partner >= 0 && accepts_class(s, s.classes[c], plan.partners[partner].kind)) {
+    if (partner >= 0 && kind_accepts_class(s, s.classes[c], plan.partners[partner].kind)) {
       out.partner = static_cast<uint16_t>(partner);
     } else {
       const auto& sums = weights[c];
--- a/rehearsal/report.cpp
+++ b/rehearsal/report.cpp
@@ -255,10 +255,10 @@
     "0;background:#fdf3f2}"
     "pre{overflow-x:auto;font-size:12.5px}";
 
-std::string counts_text(const char* of, const std::vector<MessageCounts>& tallies) {
+std::string counts_text(const char* of, const std::vector<MessageCounts>& all_counts) {
   std::string out = format("%-18s %9s %8s %8s %8s %8s %8s %8s %9s %9s\n", of, "asked", "in time", "late",
                            "refused", "failed", "lost", "no end", "p50 ms", "p99 ms");
-  for (const MessageCounts& t : tallies) {
+  for (const MessageCounts& t : all_counts) {
     out +=
         format("%-18s %9llu %7.1f%% %7.1f%% %7.1f%% %7.1f%% %8llu %8llu %9.1f %9.1f\n", t.name.c_str(),
                static_cast<unsigned long long>(t.requested), percent(t.in_time, t.requested),
@@ -269,12 +269,12 @@
   return out;
 }
 
-std::string counts_table(const char* title, const char* of, const std::vector<MessageCounts>& tallies) {
+std::string counts_table(const char* title, const char* of, const std::vector<MessageCounts>& all_counts) {
   std::string out = format(
       "<h2>%s</h2><table><tr><th>%s<th>asked<th>in time<th>late<th>refused<th>failed<th>lost with a "
       "machine<th>no end<th>p50 ms<th>p99 ms</tr>",
       title, of);
-  for (const MessageCounts& t : tallies) {
+  for (const MessageCounts& t : all_counts) {
     out +=
         "<tr><td>" + escape(t.name) +
         format("<td>%llu<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%.1f%%<td>%llu<td>%llu<td>%.1f<td>%.1f</tr>",
@@ -286,9 +286,9 @@
   return out + "</table>";
 }
 
-nlohmann::json counts_json(const std::vector<MessageCounts>& tallies) {
+nlohmann::json counts_json(const std::vector<MessageCounts>& all_counts) {
   nlohmann::json out = nlohmann::json::array();
-  for (const MessageCounts& t : tallies) {
+  for (const MessageCounts& t : all_counts) {
     out.push_back({{"name", t.name},
                    {"asked", t.requested},
                    {"in_time", t.in_time},
--- a/rehearsal/run.cpp
+++ b/rehearsal/run.cpp
@@ -32,13 +32,14 @@
 using standins::Fault;
 using Error = boost::system::error_code;
 
-constexpr Time kTick = 5 * kMillisecond;
+constexpr Time kTickInterval = 5 * kMillisecond;
 constexpr Time kStallThreshold = 40 * kMillisecond;  // below the tolerance of the rules
 // A violation from kUncertainBeforeStall before a stall of the kit to kUncertainAfterStall after it may have
 // been caused by the kit itself.
 constexpr Time kUncertainAfterStall = kSecond;
 constexpr Time kUncertainBeforeStall = 100 * kMillisecond;
-// Above these three limits a run without a certain violation is inconclusive.
+// A run that exceeds one of these three limits is inconclusive, unless it has a certain violation and the
+// machine was not suspended.
 constexpr Time kMaxStall = 500 * kMillisecond;
 constexpr Time kMaxSendDelay = 100 * kMillisecond;
 constexpr Time kMaxSuspended = 200 * kMillisecond;
@@ -114,7 +115,7 @@
     signals_.async_wait([this](const Error& error, int) {
       if (!error) interrupt();
     });
-    build_world();
+    build_environment();
     for (size_t i = 0; i < relays_.size(); ++i) start_relay(static_cast<int>(i));
     expected_tick_ = steady_now();
     tick();
@@ -167,13 +168,13 @@
 
   // ---- Partners, endpoints and relays ----
 
-  void build_world() {
-    standins::Endpoints::Options limits;
-    limits.relays = scenario_.relays;
-    limits.max_calls_per_relay = plan_.slots;
-    limits.idle_timeout = static_cast<Time>(scenario_.idle_s * 1e6);
+  void build_environment() {
+    standins::Endpoints::Options endpoint_options;
+    endpoint_options.relays = scenario_.relays;
+    endpoint_options.max_calls_per_relay = plan_.slots;
+    endpoint_options.idle_timeout = static_cast<Time>(scenario_.idle_s * 1e6);
     endpoints_ = std::make_unique<standins::Endpoints>(
-        io_, limits, observers_, [this] { return random_.unit(); },
+        io_, endpoint_options, observers_, [this] { return random_.unit(); },
         [this](uint64_t id) -> std::optional<int> {
           if (tracker_.is_finished(id)) return 410;
           if (tracker_.attempt_count(id) > scenario_.max_attempts) return 504;
@@ -320,10 +321,10 @@
   }
 
   void ping(int i) {
-    load_generator_->ping(i, [this, i, starts = relay(i).start_count](bool good) {
+    load_generator_->ping(i, [this, i, starts = relay(i).start_count](bool answered) {
       Relay& r = relay(i);
       if (r.state != Relay::State::kStarting || r.start_count != starts) return;
-      if (good) {
+      if (answered) {
         r.state = Relay::State::kUp;
         r.state_entered_at = steady_now();
         observers_.on_relay_event(steady_now(), i, RelayEvent::kReady);
@@ -646,7 +647,7 @@
       check_finished(now);
     }
     if (finished_) return;
-    expected_tick_ = std::max(expected_tick_ + kTick, now + 1);
+    expected_tick_ = std::max(expected_tick_ + kTickInterval, now + 1);
     tick_timer_.expires_at(at_time(expected_tick_));
     tick_timer_.async_wait([this](const Error& error) {
       if (!error) tick();
@@ -659,9 +660,9 @@
     if (r.state == Relay::State::kDown) return;
     const Time now = steady_now();
     if (r.quota.is_limited()) {
-      if (const bool stands = r.quota.must_pause(now, r.meter->cpu()); stands != r.paused) {
-        r.paused = stands;
-        r.meter->signal(stands ? SIGSTOP : SIGCONT);
+      if (const bool must_pause = r.quota.must_pause(now, r.meter->cpu()); must_pause != r.paused) {
+        r.paused = must_pause;
+        r.meter->signal(must_pause ? SIGSTOP : SIGCONT);
       }
     }
     if (now - r.measured_at < kMeasureInterval) return;
@@ -735,9 +736,9 @@
     }
     const bool all_ready = std::all_of(relays_.begin(), relays_.end(),
                                        [](const Relay& r) { return r.state == Relay::State::kUp; });
-    double longest = 0;
-    for (const ClassSpec& c : scenario_.classes) longest = std::max(longest, c.give_up_s);
-    if (now > start_ + static_cast<Time>((scenario_.seconds + longest) * 1e6) + kMaxDrainTime) {
+    double longest_give_up_s = 0;
+    for (const ClassSpec& c : scenario_.classes) longest_give_up_s = std::max(longest_give_up_s, c.give_up_s);
+    if (now > start_ + static_cast<Time>((scenario_.seconds + longest_give_up_s) * 1e6) + kMaxDrainTime) {
       return stop("something was open a minute after the last message's time", false);
     }
     if (tracker_.open_count() > 0 || checker_.unresolved_count() > 0 || !all_ready) {
@@ -754,11 +755,11 @@
   }
 
   // Ends the run: all relays get SIGTERM, and SIGKILL after kTerminateTimeout.
-  void stop(const std::string& why, bool failed) {
+  void stop(const std::string& reason, bool failed_to_start) {
     if (stopping_) return;
     stopping_ = true;
-    failed_to_start_ = failed;
-    reason_ = why;
+    failed_to_start_ = failed_to_start;
+    reason_ = reason;
     end_ = steady_now();
     if (start_ != 0) {
       checker_.finish(end_);
@@ -802,31 +803,32 @@
   }
 
   void check_expectation(const ExpectSpec& expect) {
-    double asked = 0, in_time = 0, delivered = 0, failed = 0, refused = 0;
+    double requested = 0, in_time = 0, delivered = 0, failed = 0, refused = 0;
     const bool by_tenant = !expect.of_tenant.empty();
     const std::string& wanted_name = by_tenant ? expect.of_tenant : expect.of_class;
     for (const MessageCounts& t : by_tenant ? tracker_.tenant_counts() : tracker_.class_counts()) {
       if (!wanted_name.empty() && t.name != wanted_name) continue;
-      asked += static_cast<double>(t.requested);
+      requested += static_cast<double>(t.requested);
       in_time += static_cast<double>(t.in_time);
       delivered += static_cast<double>(t.in_time + t.late);
       failed += static_cast<double>(t.failed);
       refused += static_cast<double>(t.refused);
     }
-    if (asked == 0) return;
+    if (requested == 0) return;
     const auto report_missed = [&](const char* what, double share, const char* bound, double wanted) {
       char text[200];
       std::snprintf(text, sizeof text, "%s: %.2f%% %s, expected %s %.2f%%", expect.where.c_str(), 100 * share,
                     what, bound, 100 * wanted);
       checker_.add_violation(Rule::kExpectation, end_, -1, text);
     };
-    if (in_time / asked < expect.in_time)
-      report_missed("in time", in_time / asked, "at least", expect.in_time);
-    if (delivered / asked < expect.delivered)
-      report_missed("delivered", delivered / asked, "at least", expect.delivered);
-    if (failed / asked > expect.failed) report_missed("failed", failed / asked, "at most", expect.failed);
-    if (refused / asked > expect.refused)
-      report_missed("refused", refused / asked, "at most", expect.refused);
+    if (in_time / requested < expect.in_time)
+      report_missed("in time", in_time / requested, "at least", expect.in_time);
+    if (delivered / requested < expect.delivered)
+      report_missed("delivered", delivered / requested, "at least", expect.delivered);
+    if (failed / requested > expect.failed)
+      report_missed("failed", failed / requested, "at most", expect.failed);
+    if (refused / requested > expect.refused)
+      report_missed("refused", refused / requested, "at most", expect.refused);
     const double attempts = static_cast<double>(tracker_.total_attempts()) /
                             static_cast<double>(std::max<uint64_t>(1, tracker_.message_count()));
     if (expect.attempts <= 0 || attempts <= expect.attempts) return;
