--- a/rehearsal/checker.cpp
+++ b/rehearsal/checker.cpp
@@ -130,16 +130,16 @@
   int64_t value = 0;   // call number or duration in microseconds, by type
 };
 
-std::string format_event(const HistoryEvent& m, Time start) {
-  const std::string at = format("%+10.3f s  ", seconds(m.at - start));
-  const long long ms = m.value / 1000;
-  switch (m.type) {
+std::string format_event(const HistoryEvent& event, Time start) {
+  const std::string at = format("%+10.3f s  ", seconds(event.at - start));
+  const long long ms = event.value / 1000;
+  switch (event.type) {
     case EventType::kSubmitted:
-      return at + format("handed in to relay %d, %lld ms to live", m.number, ms);
+      return at + format("handed in to relay %d, %lld ms to live", event.number, ms);
     case EventType::kAccepted:
       return at + "taken on: +OK";
     case EventType::kRefused:
-      return at + (m.value > 0 ? format("refused: -BUSY %lld", ms) : "refused: -BUSY");
+      return at + (event.value > 0 ? format("refused: -BUSY %lld", ms) : "refused: -BUSY");
     case EventType::kFailed:
       return at + "answered as failed";
     case EventType::kClientTimeout:
@@ -149,37 +149,37 @@
     case EventType::kRelayExited:
       return at + "the relay's process ended before it answered";
     case EventType::kCallStarted:
-      return at + format("call %lld at endpoint %d", static_cast<long long>(m.value), m.number);
+      return at + format("call %lld at endpoint %d", static_cast<long long>(event.value), event.number);
     case EventType::kExecuted:
-      return at + format("call %lld took effect", static_cast<long long>(m.value));
+      return at + format("call %lld took effect", static_cast<long long>(event.value));
     case EventType::kRepeatDropped:
-      return at + format("call %lld ran, and was dropped as a repeat", static_cast<long long>(m.value));
+      return at + format("call %lld ran, and was dropped as a repeat", static_cast<long long>(event.value));
     case EventType::kDelivered:
-      return at + format("call %lld answered 200", static_cast<long long>(m.value));
+      return at + format("call %lld answered 200", static_cast<long long>(event.value));
     case EventType::kError:
-      return at + format("call %lld answered 500", static_cast<long long>(m.value));
+      return at + format("call %lld answered 500", static_cast<long long>(event.value));
     case EventType::kCallRefused:
-      return at + (m.number > 0 ? format("call %lld turned away, wait %d ms", static_cast<long long>(m.value),
-                                         m.number)
-                                : format("call %lld turned away", static_cast<long long>(m.value)));
+      return at + (event.number > 0 ? format("call %lld turned away, wait %d ms",
+                                             static_cast<long long>(event.value), event.number)
+                                    : format("call %lld turned away", static_cast<long long>(event.value)));
     case EventType::kMessageOver:
-      return at + format("call %lld answered 410: over", static_cast<long long>(m.value));
+      return at + format("call %lld answered 410: over", static_cast<long long>(event.value));
     case EventType::kReset:
-      return at + format("call %lld: the endpoint broke the connection", static_cast<long long>(m.value));
+      return at + format("call %lld: the endpoint broke the connection", static_cast<long long>(event.value));
     case EventType::kMalformed:
-      return at + format("call %lld: a spoilt answer", static_cast<long long>(m.value));
+      return at + format("call %lld: a spoilt answer", static_cast<long long>(event.value));
     case EventType::kAbandoned:
-      return at + format("call %lld: the relay closed the connection", static_cast<long long>(m.value));
+      return at + format("call %lld: the relay closed the connection", static_cast<long long>(event.value));
     case EventType::kReturnedNotice:
-      return at + (m.value > 0 ? format("notice: returned, after %lld ms", ms) : "notice: returned");
+      return at + (event.value > 0 ? format("notice: returned, after %lld ms", ms) : "notice: returned");
     case EventType::kFailedNotice:
       return at + "notice: failed";
     case EventType::kLostWithMachine:
       return at + "lost with its machine";
     case EventType::kRelayProcessEnded:
-      return at + format("relay %d: its process ended", m.number);
+      return at + format("relay %d: its process ended", event.number);
     case EventType::kRelayReady:
-      return at + format("relay %d: ready again", m.number);
+      return at + format("relay %d: ready again", event.number);
   }
   return at;
 }
@@ -391,8 +391,8 @@
   }
   if (m.excluded) return;
   const ClassRule& rule = parameters_.classes[m.submission.message_class];
-  const Time ended = m.notice_at != 0 ? m.notice_at : m.rejected_at;
-  if (ended != 0 && call.first_byte > ended + parameters_.tolerance) {
+  const Time final_answer_at = m.notice_at != 0 ? m.notice_at : m.rejected_at;
+  if (final_answer_at != 0 && call.first_byte > final_answer_at + parameters_.tolerance) {
     report(Rule::kUnsafeRepeated, at, &m, call.relay, destination, "sent after its final answer");
   }
   const CallAttempt* earliest = nullptr;
@@ -401,8 +401,9 @@
       overlap_checks_.push({at + parameters_.tolerance, call.number});
       overlapping_calls_[call.number] = {m.submission.id, attempt.call};
     }
-    const bool maybe = !attempt.end || attempt.maybe_executed();
-    if (maybe && (earliest == nullptr || attempt.first_byte < earliest->first_byte)) earliest = &attempt;
+    const bool maybe_executed = !attempt.end || attempt.maybe_executed();
+    if (maybe_executed && (earliest == nullptr || attempt.first_byte < earliest->first_byte))
+      earliest = &attempt;
   }
   if (earliest == nullptr) return;
   if (rule.effect == Effect::kUnsafe) {
@@ -428,10 +429,10 @@
   m->record({at, effect ? EventType::kExecuted : EventType::kRepeatDropped, 0, static_cast<int64_t>(number)});
   if (!effect || m->excluded || parameters_.classes[m->submission.message_class].effect == Effect::kSafe)
     return;
-  const auto [before, first] = effects_.try_emplace(m->submission.message, m->submission.id);
-  if (first) return;
-  const TrackedMessage* other = find(before->second);
-  before->second = m->submission.id;
+  const auto [previous, inserted] = effects_.try_emplace(m->submission.message, m->submission.id);
+  if (inserted) return;
+  const TrackedMessage* other = find(previous->second);
+  previous->second = m->submission.id;
   if (other == nullptr || other->excluded) return;
   // A keyed message that may have been executed may be returned. If its client resubmits it within the key
   // window and the new relay sends it after the window, neither of them could have known: no violation.
--- a/rehearsal/plan.cpp
+++ b/rehearsal/plan.cpp
@@ -15,19 +15,20 @@
 
 // Returns the kind of each partner, in order of falling traffic. The numbers follow the shares of the kinds;
 // `lean` moves the partners of a kind towards the head or the tail.
-std::vector<int> draw_kinds(const Scenario& s, Random& random) {
+std::vector<int> draw_kinds(const Scenario& scenario, Random& random) {
   double shares = 0;
-  for (const KindSpec& kind : s.kinds) shares += kind.share;
+  for (const KindSpec& kind : scenario.kinds) shares += kind.share;
   std::vector<std::pair<double, int>> order;
-  int left = s.partners;
-  for (size_t i = 0; i < s.kinds.size(); ++i) {
-    const bool last = i + 1 == s.kinds.size();
+  int left = scenario.partners;
+  for (size_t i = 0; i < scenario.kinds.size(); ++i) {
+    const bool last = i + 1 == scenario.kinds.size();
     const int count =
         last ? left
-             : std::min(left,
-                        std::max(1, static_cast<int>(std::lround(s.partners * s.kinds[i].share / shares))));
+             : std::min(left, std::max(1, static_cast<int>(std::lround(scenario.partners *
+                                                                       scenario.kinds[i].share / shares))));
     left -= count;
-    for (int k = 0; k < count; ++k) order.emplace_back(random.unit() - s.kinds[i].lean, static_cast<int>(i));
+    for (int k = 0; k < count; ++k)
+      order.emplace_back(random.unit() - scenario.kinds[i].lean, static_cast<int>(i));
   }
   std::sort(order.begin(), order.end());
   std::vector<int> out;
@@ -35,18 +36,20 @@
   return out;
 }
 
-bool kind_accepts_class(const Scenario& s, const ClassSpec& c, int kind) {
-  return c.kinds.empty() || std::find(c.kinds.begin(), c.kinds.end(), s.kinds[kind].name) != c.kinds.end();
+bool kind_accepts_class(const Scenario& scenario, const ClassSpec& c, int kind) {
+  return c.kinds.empty() ||
+         std::find(c.kinds.begin(), c.kinds.end(), scenario.kinds[kind].name) != c.kinds.end();
 }
 
 // For each class, the cumulative distribution of its messages over the partners.
-std::vector<std::vector<double>> class_weights(const Scenario& s, const std::vector<PartnerPlan>& partners) {
+std::vector<std::vector<double>> class_weights(const Scenario& scenario,
+                                               const std::vector<PartnerPlan>& partners) {
   std::vector<std::vector<double>> out;
-  for (const ClassSpec& c : s.classes) {
+  for (const ClassSpec& c : scenario.classes) {
     std::vector<double> sums;
     double sum = 0;
     for (const PartnerPlan& partner : partners) {
-      if (kind_accepts_class(s, c, partner.kind)) sum += std::pow(partner.number + 1, -s.zipf);
+      if (kind_accepts_class(scenario, c, partner.kind)) sum += std::pow(partner.number + 1, -scenario.zipf);
       sums.push_back(sum);
     }
     if (sum <= 0) {
@@ -59,19 +62,20 @@
   return out;
 }
 
-void size_partners(const Scenario& s, std::vector<PartnerPlan>& partners, Random& random) {
-  const auto weights = class_weights(s, partners);
+void size_partners(const Scenario& scenario, std::vector<PartnerPlan>& partners, Random& random) {
+  const auto weights = class_weights(scenario, partners);
   double shares = 0;
-  for (const ClassSpec& c : s.classes) shares += c.share;
-  for (size_t c = 0; c < s.classes.size(); ++c) {
+  for (const ClassSpec& c : scenario.classes) shares += c.share;
+  for (size_t c = 0; c < scenario.classes.size(); ++c) {
     for (size_t p = 0; p < partners.size(); ++p) {
       const double own = weights[c][p] - (p == 0 ? 0 : weights[c][p - 1]);
-      partners[p].traffic += own * s.classes[c].share / shares;
+      partners[p].traffic += own * scenario.classes[c].share / shares;
     }
   }
   for (PartnerPlan& p : partners) {
-    const KindSpec& kind = s.kinds[p.kind];
-    const double full_load_rate = p.traffic * s.load.rate * s.load.full;  // calls per second at full load
+    const KindSpec& kind = scenario.kinds[p.kind];
+    const double full_load_rate =
+        p.traffic * scenario.load.rate * scenario.load.full;  // calls per second at full load
     const double load_share = std::min(1.0, p.traffic * static_cast<double>(partners.size()) / 2);
     p.endpoints = static_cast<int>(
         std::lround(kind.endpoints.low + (kind.endpoints.high - kind.endpoints.low) *
@@ -95,55 +99,57 @@
   }
 }
 
-void draw_arrivals(const Scenario& s, Plan& plan, Random& random) {
-  const auto weights = class_weights(s, plan.partners);
+void draw_arrivals(const Scenario& scenario, Plan& plan, Random& random) {
+  const auto weights = class_weights(scenario, plan.partners);
   double shares = 0;
-  for (const ClassSpec& c : s.classes) shares += c.share;
+  for (const ClassSpec& c : scenario.classes) shares += c.share;
   const auto rate_at = [&](double t) {
-    double rate = s.load.rate * (1 + s.load.swing * std::sin(2 * M_PI * t / s.load.period_s));
-    for (const BurstSpec& burst : s.load.bursts) {
+    double rate =
+        scenario.load.rate * (1 + scenario.load.swing * std::sin(2 * M_PI * t / scenario.load.period_s));
+    for (const BurstSpec& burst : scenario.load.bursts) {
       if (t >= burst.at_s && t < burst.at_s + burst.for_s) rate *= burst.factor;
     }
     return rate;
   };
-  double max_rate = s.load.rate * (1 + s.load.swing);
-  for (const BurstSpec& burst : s.load.bursts) max_rate *= std::max(1.0, burst.factor);
+  double max_rate = scenario.load.rate * (1 + scenario.load.swing);
+  for (const BurstSpec& burst : scenario.load.bursts) max_rate *= std::max(1.0, burst.factor);
   const auto add = [&](double t, int partner) {
     double pick = random.unit() * shares;
     size_t c = 0;
-    while (c + 1 < s.classes.size() && (pick -= s.classes[c].share) >= 0) ++c;
+    while (c + 1 < scenario.classes.size() && (pick -= scenario.classes[c].share) >= 0) ++c;
     ArrivalPlan out;
     out.at = to_microseconds(t);
     out.message_class = static_cast<uint16_t>(c);
-    if (partner >= 0 && kind_accepts_class(s, s.classes[c], plan.partners[partner].kind)) {
+    if (partner >= 0 && kind_accepts_class(scenario, scenario.classes[c], plan.partners[partner].kind)) {
       out.partner = static_cast<uint16_t>(partner);
     } else {
       const auto& sums = weights[c];
       out.partner = static_cast<uint16_t>(std::min<size_t>(
           sums.size() - 1, std::upper_bound(sums.begin(), sums.end(), random.unit()) - sums.begin()));
     }
-    out.body_bytes =
-        static_cast<uint32_t>(random.between(s.load.body_bytes.low, s.load.body_bytes.high + 0.999));
+    out.body_bytes = static_cast<uint32_t>(
+        random.between(scenario.load.body_bytes.low, scenario.load.body_bytes.high + 0.999));
     plan.arrivals.push_back(out);
   };
   // A clump is a burst of messages to one partner, as many as it takes within a time drawn from `clump_s`.
   // Clumps are spaced so that their messages make up `clump_share` of all.
-  const double unclumped_share = 1 - s.load.clump_share;
-  for (double t = random.exponential(1 / max_rate); t < s.seconds; t += random.exponential(1 / max_rate)) {
+  const double unclumped_share = 1 - scenario.load.clump_share;
+  for (double t = random.exponential(1 / max_rate); t < scenario.seconds;
+       t += random.exponential(1 / max_rate)) {
     if (random.chance(rate_at(t) / max_rate * unclumped_share)) add(t, -1);
   }
-  if (s.load.clump_share > 0) {
+  if (scenario.load.clump_share > 0) {
     double t = 0;
     while (true) {
       const size_t partner = random.below(plan.partners.size());
-      const double clump_size =
-          plan.partners[partner].advertised_rate * random.between(s.load.clump_s.low, s.load.clump_s.high);
+      const double clump_size = plan.partners[partner].advertised_rate *
+                                random.between(scenario.load.clump_s.low, scenario.load.clump_s.high);
       const auto count = std::max<size_t>(2, static_cast<size_t>(clump_size));
-      t += random.exponential(static_cast<double>(count) / (s.load.rate * s.load.clump_share));
-      if (t >= s.seconds) break;
+      t += random.exponential(static_cast<double>(count) / (scenario.load.rate * scenario.load.clump_share));
+      if (t >= scenario.seconds) break;
       for (size_t i = 0; i < count; ++i) {
         const double at = t + 0.2 * random.unit();
-        if (at < s.seconds) add(at, static_cast<int>(partner));
+        if (at < scenario.seconds) add(at, static_cast<int>(partner));
       }
     }
   }
@@ -153,19 +159,20 @@
 }
 
 // Uses a random stream of its own, so that a scenario has the same arrivals with and without tenants.
-void draw_tenants(const Scenario& s, Plan& plan, Random random) {
+void draw_tenants(const Scenario& scenario, Plan& plan, Random random) {
   double shares = 0;
-  for (const TenantSpec& t : s.tenants) shares += t.share;
-  if (s.tenants.empty()) return;
+  for (const TenantSpec& t : scenario.tenants) shares += t.share;
+  if (scenario.tenants.empty()) return;
   for (ArrivalPlan& a : plan.arrivals) {
     double pick = random.unit() * shares;
     size_t t = 0;
-    while (t + 1 < s.tenants.size() && (pick -= s.tenants[t].share) >= 0) ++t;
+    while (t + 1 < scenario.tenants.size() && (pick -= scenario.tenants[t].share) >= 0) ++t;
     a.tenant = static_cast<uint16_t>(t);
   }
 }
 
-std::vector<int> targets_of(const Scenario& s, const Plan& plan, const EventSpec& event, Random& random) {
+std::vector<int> targets_of(const Scenario& scenario, const Plan& plan, const EventSpec& event,
+                            Random& random) {
   std::vector<int> all(plan.partners.size());
   std::iota(all.begin(), all.end(), 0);
   if (!event.partner.empty()) {
@@ -176,7 +183,7 @@
                         " to " + plan.partners.back().name);
   }
   if (!event.kind.empty()) {
-    std::erase_if(all, [&](int p) { return s.kinds[plan.partners[p].kind].name != event.kind; });
+    std::erase_if(all, [&](int p) { return scenario.kinds[plan.partners[p].kind].name != event.kind; });
   }
   if (event.largest > 0) {
     std::stable_sort(all.begin(), all.end(),
@@ -200,13 +207,13 @@
   return all;
 }
 
-void resolve_events(const Scenario& s, Plan& plan, Random& random) {
+void resolve_events(const Scenario& scenario, Plan& plan, Random& random) {
   const auto add = [&](const EventSpec& event, Action action, Time at, int relay) {
     EventPlan out;
     out.at = at;
     out.duration = to_microseconds(event.for_s);
     out.action = action;
-    if (action <= Action::kWithdraw) out.partners = targets_of(s, plan, event, random);
+    if (action <= Action::kWithdraw) out.partners = targets_of(scenario, plan, event, random);
     out.relay = relay;
     out.amount = event.amount;
     out.sends_retry_after = event.wait_told;
@@ -219,19 +226,19 @@
     if (!out.partners.empty()) out.description += " (" + std::to_string(out.partners.size()) + " partners)";
     plan.events.push_back(std::move(out));
   };
-  for (const EventSpec& event : s.events) {
+  for (const EventSpec& event : scenario.events) {
     for (int time = 0; time < event.times; ++time) {
       const Time at = to_microseconds(event.at_s + time * event.every_s);
       if (event.action ==
           Action::kRolling) {  // spaced so that each relay is ready again before the next stops
-        const Time gap = event.for_s > 0 ? to_microseconds(event.for_s) / s.relays : 6 * kSecond;
-        for (int i = 0; i < s.relays; ++i) add(event, Action::kTerminate, at + i * gap, i);
+        const Time gap = event.for_s > 0 ? to_microseconds(event.for_s) / scenario.relays : 6 * kSecond;
+        for (int i = 0; i < scenario.relays; ++i) add(event, Action::kTerminate, at + i * gap, i);
         continue;
       }
       const bool targets_relay = event.action == Action::kKill || event.action == Action::kTerminate ||
                                  event.action == Action::kMove || event.action == Action::kLose ||
                                  event.action == Action::kCrowd;
-      const int drawn = static_cast<int>(random.below(static_cast<size_t>(s.relays)));
+      const int drawn = static_cast<int>(random.below(static_cast<size_t>(scenario.relays)));
       add(event, event.action, at, targets_relay ? (event.relay >= 0 ? event.relay : drawn) : -1);
     }
   }
@@ -274,13 +281,13 @@
 
 }  // namespace
 
-Plan make_plan(const Scenario& s, uint64_t seed) {
+Plan make_plan(const Scenario& scenario, uint64_t seed) {
   Random root(seed);
   Random partners = root.fork(kPartnerStream);
   Random arrivals = root.fork(kArrivalStream);
   Random events = root.fork(kEventStream);
   Plan plan;
-  const std::vector<int> kinds = draw_kinds(s, partners);
+  const std::vector<int> kinds = draw_kinds(scenario, partners);
   for (size_t i = 0; i < kinds.size(); ++i) {
     PartnerPlan p;
     p.number = static_cast<int>(i);
@@ -288,17 +295,20 @@
     p.kind = kinds[i];
     plan.partners.push_back(std::move(p));
   }
-  size_partners(s, plan.partners, partners);
-  draw_arrivals(s, plan, arrivals);
-  draw_tenants(s, plan, root.fork(kTenantStream));
-  resolve_events(s, plan, events);
+  size_partners(scenario, plan.partners, partners);
+  draw_arrivals(scenario, plan, arrivals);
+  draw_tenants(scenario, plan, root.fork(kTenantStream));
+  resolve_events(scenario, plan, events);
   double busy_slots = 0;
   for (const PartnerPlan& p : plan.partners) {
-    busy_slots += p.traffic * s.load.rate * s.load.full * static_cast<double>(p.mean_service_time) / 1e6;
+    busy_slots +=
+        p.traffic * scenario.load.rate * scenario.load.full * static_cast<double>(p.mean_service_time) / 1e6;
   }
-  plan.slots = std::max(s.least_slots, static_cast<int>(std::ceil(busy_slots / s.relays * s.slots_room)));
+  plan.slots = std::max(scenario.least_slots,
+                        static_cast<int>(std::ceil(busy_slots / scenario.relays * scenario.slots_room)));
   plan.max_open =
-      std::max(s.least_open, static_cast<int>(std::ceil(s.load.rate * s.load.full / s.relays * s.hold_s)));
+      std::max(scenario.least_open, static_cast<int>(std::ceil(scenario.load.rate * scenario.load.full /
+                                                               scenario.relays * scenario.hold_s)));
   plan.digest = digest_of(plan);
   return plan;
 }
--- a/rehearsal/report.cpp
+++ b/rehearsal/report.cpp
@@ -45,24 +45,24 @@
   return out + ": " + b.description;
 }
 
-std::map<std::string, size_t> by_rule(const RunReport& o) {
+std::map<std::string, size_t> by_rule(const RunReport& report) {
   std::map<std::string, size_t> out;
-  for (const Violation& b : o.violations) ++out[rule_name(b.rule)];
+  for (const Violation& b : report.violations) ++out[rule_name(b.rule)];
   return out;
 }
 
-double worth_share(const Scenario& s, const RunReport& o) {
-  double earned = 0, asked = 0;
-  for (size_t i = 0; i < o.class_counts.size(); ++i) {
-    earned += o.class_counts[i].worth;
-    asked += s.classes[i].worth * static_cast<double>(o.class_counts[i].requested);
+double worth_share(const Scenario& scenario, const RunReport& report) {
+  double earned = 0, possible = 0;
+  for (size_t i = 0; i < report.class_counts.size(); ++i) {
+    earned += report.class_counts[i].worth;
+    possible += scenario.classes[i].worth * static_cast<double>(report.class_counts[i].requested);
   }
-  return asked > 0 ? earned / asked : 0;
+  return possible > 0 ? earned / possible : 0;
 }
 
-Time relay_cpu(const RunReport& o) {
+Time relay_cpu(const RunReport& report) {
   Time out = 0;
-  for (const Sample& s : o.samples) {
+  for (const Sample& s : report.samples) {
     for (const RelaySample& r : s.relays) out += r.cpu;
   }
   return out;
@@ -70,29 +70,30 @@
 
 // Highest usage of any relay. Sizes are in MB of 10^6 bytes, the stricter reading of the limits.
 struct PeakUsage {
-  double memory = 0, disk = 0, busiest = 0;
+  double memory = 0, disk = 0, cpu_share = 0;
   int descriptors = 0, sockets = 0;
 };
 
-PeakUsage peak_usage(const RunReport& o) {
+PeakUsage peak_usage(const RunReport& report) {
   PeakUsage out;
-  for (const RelayUsage& use : o.relay_usage) {
+  for (const RelayUsage& use : report.relay_usage) {
     out.memory = std::max(out.memory, static_cast<double>(use.peak_memory) / 1e6);
     out.disk = std::max(out.disk, static_cast<double>(use.peak.disk) / 1e6);
     out.descriptors = std::max(out.descriptors, use.peak.descriptors);
     out.sockets = std::max(out.sockets, use.peak.sockets);
-    out.busiest = std::max(out.busiest, use.peak_cpu_share);
+    out.cpu_share = std::max(out.cpu_share, use.peak_cpu_share);
   }
   return out;
 }
 
-std::string limits_table(const Scenario& s, const RunReport& o) {
-  const PeakUsage most = peak_usage(o);
+std::string limits_table(const Scenario& scenario, const RunReport& report) {
+  const PeakUsage peak = peak_usage(report);
   return format(
       "the most of one relay: %.1f of %d MB memory, %.3f of %.3f MB disk, %d of %d descriptors, %d sockets, "
       "%.0f%% of a core%s\n",
-      most.memory, s.memory_mb, most.disk, s.disk_mb, most.descriptors, s.sockets, most.sockets,
-      100 * most.busiest, s.cores > 0 ? format(" of %.0f%%", 100 * s.cores).c_str() : "");
+      peak.memory, scenario.memory_mb, peak.disk, scenario.disk_mb, peak.descriptors, scenario.sockets,
+      peak.sockets, 100 * peak.cpu_share,
+      scenario.cores > 0 ? format(" of %.0f%%", 100 * scenario.cores).c_str() : "");
 }
 
 // ---- HTML ----
@@ -124,10 +125,10 @@
                                           "#8a7a22", "#5b5b5b", "#1b9ba0", "#b03030"};
 
 // Shaded areas for the scheduled events, each as wide as the event lasts, with its name as a tooltip.
-std::string event_marks(const RunReport& o, double span, double left, double width, double top,
+std::string event_marks(const RunReport& report, double span, double left, double width, double top,
                         double height) {
   std::string out;
-  for (const EventPlan& e : o.events) {
+  for (const EventPlan& e : report.events) {
     const double x = left + width * std::min(1.0, static_cast<double>(e.at) / 1e6 / span);
     const double w = std::max(1.5, width * static_cast<double>(e.duration) / 1e6 / span);
     out += format("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" class=\"mark\"><title>", x, top,
@@ -137,30 +138,30 @@
   return out;
 }
 
-std::string plot(const RunReport& o, const std::string& title, const std::string& unit,
+std::string plot(const RunReport& report, const std::string& title, const std::string& unit,
                  const std::vector<Series>& all) {
   constexpr double kWidth = 860, kHeight = 190, kLeft = 56, kRight = 12, kTop = 12, kBottom = 24;
   size_t count = 2;
-  double most = 0;
+  double max_value = 0;
   for (const Series& s : all) {
     count = std::max(count, s.values.size());
-    for (const double v : s.values) most = std::max(most, v);
+    for (const double v : s.values) max_value = std::max(max_value, v);
   }
-  if (most <= 0) most = 1;
-  double step =
-      std::pow(10, std::floor(std::log10(most)) - 1);  // grid step: a round number giving at most six lines
+  if (max_value <= 0) max_value = 1;
+  double step = std::pow(
+      10, std::floor(std::log10(max_value)) - 1);  // grid step: a round number giving at most six lines
   for (const double factor : {2.0, 2.5, 2.0, 2.0, 2.5}) {
-    if (most <= 6 * step) break;
+    if (max_value <= 6 * step) break;
     step *= factor;
   }
-  most = std::ceil(most / step) * step;
+  max_value = std::ceil(max_value / step) * step;
   const double width = kWidth - kLeft - kRight, height = kHeight - kTop - kBottom;
   const double span = static_cast<double>(count - 1);
   std::string out = "<h3>" + escape(title) + " <small>" + escape(unit) +
                     "</small></h3><svg viewBox=\"0 0 860 190\" role=\"img\">";
-  out += event_marks(o, span, kLeft, width, kTop, height);
-  for (double v = 0; v <= most + step / 2; v += step) {
-    const double y = kTop + height * (1 - v / most);
+  out += event_marks(report, span, kLeft, width, kTop, height);
+  for (double v = 0; v <= max_value + step / 2; v += step) {
+    const double y = kTop + height * (1 - v / max_value);
     out += format(
         "<line x1=\"%.0f\" x2=\"%.0f\" y1=\"%.1f\" y2=\"%.1f\" class=\"grid\"/><text x=\"%.0f\" y=\"%.1f\" "
         "text-anchor=\"end\">%g</text>",
@@ -177,7 +178,7 @@
     out += format("<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"1.6\" points=\"", colour);
     for (size_t t = 0; t < all[i].values.size(); ++t) {
       out += format("%.1f,%.1f ", kLeft + width * static_cast<double>(t) / span,
-                    kTop + height * (1 - all[i].values[t] / most));
+                    kTop + height * (1 - all[i].values[t] / max_value));
     }
     out += "\"/>";
     legend += format("<span style=\"color:%s\">&#9632;</span> ", colour) + escape(all[i].name) + " &nbsp; ";
@@ -186,58 +187,60 @@
 }
 
 template <class Get>
-std::vector<double> per_second(const RunReport& o, Get get) {
+std::vector<double> per_second(const RunReport& report, Get get) {
   std::vector<double> out;
-  for (const SecondCounts& s : o.per_second) out.push_back(get(s));
+  for (const SecondCounts& s : report.per_second) out.push_back(get(s));
   return out;
 }
 
 template <class Get>
-std::vector<double> per_sample(const RunReport& o, Get get) {
+std::vector<double> per_sample(const RunReport& report, Get get) {
   std::vector<double> out;
-  for (const Sample& s : o.samples) out.push_back(get(s));
+  for (const Sample& s : report.samples) out.push_back(get(s));
   return out;
 }
 
-std::string plots(const Scenario& s, const RunReport& o) {
+std::string plots(const Scenario& scenario, const RunReport& report) {
   std::string out;
   std::vector<Series> flow = {
-      {"arrivals", per_second(o, [](const SecondCounts& x) { return double(x.arrivals); })}};
-  for (size_t c = 0; c < s.classes.size(); ++c) {
-    flow.push_back({"delivered, " + s.classes[c].name,
-                    per_second(o, [c](const SecondCounts& x) { return double(x.delivered[c]); })});
+      {"arrivals", per_second(report, [](const SecondCounts& x) { return double(x.arrivals); })}};
+  for (size_t c = 0; c < scenario.classes.size(); ++c) {
+    flow.push_back({"delivered, " + scenario.classes[c].name,
+                    per_second(report, [c](const SecondCounts& x) { return double(x.delivered[c]); })});
   }
-  out += plot(o, "Arrivals and deliveries", "messages a second", flow);
-  out += plot(o, "Refused and failed", "messages a second",
-              {{"refusals, each", per_second(o, [](const SecondCounts& x) { return double(x.refusals); })},
-               {"refused for good", per_second(o, [](const SecondCounts& x) { return double(x.refused); })},
-               {"failed", per_second(o, [](const SecondCounts& x) { return double(x.failed); })}});
-  out += plot(o, "Held and in flight", "messages",
-              {{"taken on and not over", per_sample(o, [](const Sample& x) { return double(x.held); })},
-               {"calls out", per_sample(o, [](const Sample& x) { return double(x.calls_in_flight); })},
-               {"open at clients", per_sample(o, [](const Sample& x) { return double(x.open); })}});
-  out += plot(o, "Attempts for each message", "attempts over arrivals, by second",
-              {{"attempts", per_second(o, [](const SecondCounts& x) {
+  out += plot(report, "Arrivals and deliveries", "messages a second", flow);
+  out +=
+      plot(report, "Refused and failed", "messages a second",
+           {{"refusals, each", per_second(report, [](const SecondCounts& x) { return double(x.refusals); })},
+            {"refused for good", per_second(report, [](const SecondCounts& x) { return double(x.refused); })},
+            {"failed", per_second(report, [](const SecondCounts& x) { return double(x.failed); })}});
+  out += plot(report, "Held and in flight", "messages",
+              {{"taken on and not over", per_sample(report, [](const Sample& x) { return double(x.held); })},
+               {"calls out", per_sample(report, [](const Sample& x) { return double(x.calls_in_flight); })},
+               {"open at clients", per_sample(report, [](const Sample& x) { return double(x.open); })}});
+  out += plot(report, "Attempts for each message", "attempts over arrivals, by second",
+              {{"attempts", per_second(report, [](const SecondCounts& x) {
                   return x.arrivals == 0 ? 0.0 : double(x.attempts) / double(x.arrivals);
                 })}});
-  out += plot(o, "Latency of what was delivered", "milliseconds, from a message's arrival",
-              {{"median", per_second(o, [](const SecondCounts& x) { return x.latency.quantile(0.5); })},
-               {"90%", per_second(o, [](const SecondCounts& x) { return x.latency.quantile(0.9); })},
-               {"99%", per_second(o, [](const SecondCounts& x) { return x.latency.quantile(0.99); })}});
+  out += plot(report, "Latency of what was delivered", "milliseconds, from a message's arrival",
+              {{"median", per_second(report, [](const SecondCounts& x) { return x.latency.quantile(0.5); })},
+               {"90%", per_second(report, [](const SecondCounts& x) { return x.latency.quantile(0.9); })},
+               {"99%", per_second(report, [](const SecondCounts& x) { return x.latency.quantile(0.99); })}});
   std::vector<Series> cpu, memory, descriptors, disk;
-  for (size_t r = 0; r < static_cast<size_t>(s.relays) && r < 8; ++r) {
+  for (size_t r = 0; r < static_cast<size_t>(scenario.relays) && r < 8; ++r) {
     const std::string name = "relay " + std::to_string(r);
-    cpu.push_back({name, per_sample(o, [r](const Sample& x) { return double(x.relays[r].cpu) / 1e4; })});
+    cpu.push_back({name, per_sample(report, [r](const Sample& x) { return double(x.relays[r].cpu) / 1e4; })});
     memory.push_back(
-        {name, per_sample(o, [r](const Sample& x) { return double(x.relays[r].memory) / 1e6; })});
-    disk.push_back({name, per_sample(o, [r](const Sample& x) { return double(x.relays[r].disk) / 1e6; })});
+        {name, per_sample(report, [r](const Sample& x) { return double(x.relays[r].memory) / 1e6; })});
+    disk.push_back(
+        {name, per_sample(report, [r](const Sample& x) { return double(x.relays[r].disk) / 1e6; })});
     descriptors.push_back(
-        {name, per_sample(o, [r](const Sample& x) { return double(x.relays[r].descriptors); })});
+        {name, per_sample(report, [r](const Sample& x) { return double(x.relays[r].descriptors); })});
   }
-  out += plot(o, "Relay CPU", "percent of a core", cpu);
-  out += plot(o, "Relay memory", "MB: resident in all its processes, and temporary files", memory);
-  out += plot(o, "State folder", "MB, each file in whole 512 bytes", disk);
-  out += plot(o, "Relay descriptors", "open", descriptors);
+  out += plot(report, "Relay CPU", "percent of a core", cpu);
+  out += plot(report, "Relay memory", "MB: resident in all its processes, and temporary files", memory);
+  out += plot(report, "State folder", "MB, each file in whole 512 bytes", disk);
+  out += plot(report, "Relay descriptors", "open", descriptors);
   return out;
 }
 
@@ -306,76 +309,79 @@
 
 }  // namespace
 
-std::string summary(const Scenario& s, const RunOptions& options, const RunReport& o) {
+std::string summary(const Scenario& scenario, const RunOptions& options, const RunReport& report) {
   std::ostringstream out;
-  out << s.name << ", seed " << options.seed << ", digest " << hex(o.digest) << ": "
-      << verdict_text(o.verdict);
-  if (!o.reason.empty()) out << " (" << o.reason << ")";
+  out << scenario.name << ", seed " << options.seed << ", digest " << hex(report.digest) << ": "
+      << verdict_text(report.verdict);
+  if (!report.reason.empty()) out << " (" << report.reason << ")";
   out << "\n";
-  out << counts_text("class", o.class_counts);
-  if (!o.tenant_counts.empty()) out << counts_text("tenant", o.tenant_counts);
-  const double messages = std::max<double>(1, static_cast<double>(o.messages));
+  out << counts_text("class", report.class_counts);
+  if (!report.tenant_counts.empty()) out << counts_text("tenant", report.tenant_counts);
+  const double messages = std::max<double>(1, static_cast<double>(report.messages));
   out << format(
       "worth %.3f; %.2f attempts and %.2f handings-in a message; CPU a message: relays %.0f us, kit %.0f "
       "us\n",
-      worth_share(s, o), static_cast<double>(o.attempts) / messages,
-      static_cast<double>(o.submissions) / messages, static_cast<double>(relay_cpu(o)) / messages,
-      static_cast<double>(o.timing.cpu) / messages);
-  out << limits_table(s, o);
+      worth_share(scenario, report), static_cast<double>(report.attempts) / messages,
+      static_cast<double>(report.submissions) / messages, static_cast<double>(relay_cpu(report)) / messages,
+      static_cast<double>(report.timing.cpu) / messages);
+  out << limits_table(scenario, report);
   out << format("the kit's own lateness: p50 %.2f ms, p99 %.2f ms, longest stall %.1f ms\n",
-                o.timing.send_delay.quantile(0.5), o.timing.send_delay.quantile(0.99),
-                static_cast<double>(o.timing.longest_stall) / 1e3);
-  for (const std::string& note : o.notes) out << "note: " << note << "\n";
-  if (o.violation_count > 0) {
-    out << "\n" << o.violation_count << " BREACHES:";
-    for (const auto& [rule, count] : by_rule(o)) out << " " << rule << " x" << count;
+                report.timing.send_delay.quantile(0.5), report.timing.send_delay.quantile(0.99),
+                static_cast<double>(report.timing.longest_stall) / 1e3);
+  for (const std::string& note : report.notes) out << "note: " << note << "\n";
+  if (report.violation_count > 0) {
+    out << "\n" << report.violation_count << " BREACHES:";
+    for (const auto& [rule, count] : by_rule(report)) out << " " << rule << " x" << count;
     out << "\n";
     std::map<std::string, int> shown;
-    for (size_t i = 0; i < o.violations.size(); ++i) {
-      const Violation& b = o.violations[i];
+    for (size_t i = 0; i < report.violations.size(); ++i) {
+      const Violation& b = report.violations[i];
       if (++shown[rule_name(b.rule)] > 3) continue;  // the report file lists all of them
-      out << "\n" << violation_line(b, o.uncertain.size() > i && o.uncertain[i]) << "\n";
+      out << "\n" << violation_line(b, report.uncertain.size() > i && report.uncertain[i]) << "\n";
       for (const std::string& line : b.history) out << "  " << line << "\n";
     }
   }
   return out.str();
 }
 
-std::string report_json(const Scenario& s, const RunOptions& options, const RunReport& o) {
-  json out = {{"scenario", s.name},
+std::string report_json(const Scenario& scenario, const RunOptions& options, const RunReport& report) {
+  json out = {{"scenario", scenario.name},
               {"seed", options.seed},
-              {"digest", hex(o.digest)},
-              {"result", o.verdict == RunVerdict::kPassed     ? "kept"
-                         : o.verdict == RunVerdict::kViolated ? "broken"
-                                                              : "inconclusive"},
-              {"why", o.reason},
-              {"interrupted", o.interrupted},
-              {"seconds", o.seconds},
-              {"messages", o.messages},
-              {"handed_in", o.submissions},
-              {"attempts", o.attempts},
-              {"notices", o.notices},
-              {"client_connections", o.connections_opened},
-              {"worth", worth_share(s, o)},
-              {"breaches", o.violation_count}};
-  const double messages = std::max<double>(1, static_cast<double>(o.messages));
-  for (const SecondCounts& in : o.per_second) {
+              {"digest", hex(report.digest)},
+              {"result", report.verdict == RunVerdict::kPassed     ? "kept"
+                         : report.verdict == RunVerdict::kViolated ? "broken"
+                                                                   : "inconclusive"},
+              {"why", report.reason},
+              {"interrupted", report.interrupted},
+              {"seconds", report.seconds},
+              {"messages", report.messages},
+              {"handed_in", report.submissions},
+              {"attempts", report.attempts},
+              {"notices", report.notices},
+              {"client_connections", report.connections_opened},
+              {"worth", worth_share(scenario, report)},
+              {"breaches", report.violation_count}};
+  const double messages = std::max<double>(1, static_cast<double>(report.messages));
+  for (const SecondCounts& in : report.per_second) {
     double worth = 0;
-    for (size_t c = 0; c < in.delivered.size(); ++c) worth += s.classes[c].worth * in.delivered[c];
+    for (size_t c = 0; c < in.delivered.size(); ++c) worth += scenario.classes[c].worth * in.delivered[c];
     out["worth_each_second"].push_back(worth);
     out["attempts_each_second"].push_back(in.attempts);
   }
-  out["cpu_us_a_message"] = {{"relays", static_cast<double>(relay_cpu(o)) / messages},
-                             {"kit", static_cast<double>(o.timing.cpu) / messages}};
-  out["kit"] = {{"send_lateness_ms",
-                 {{"p50", o.timing.send_delay.quantile(0.5)}, {"p99", o.timing.send_delay.quantile(0.99)}}},
-                {"longest_stall_ms", static_cast<double>(o.timing.longest_stall) / 1e3},
-                {"stalls", o.timing.stall_count},
-                {"suspended_ms", static_cast<double>(o.timing.suspended) / 1e3}};
-  out["limits"] = {
-      {"memory_mb", s.memory_mb}, {"disk_mb", s.disk_mb}, {"sockets", s.sockets}, {"cores", s.cores}};
+  out["cpu_us_a_message"] = {{"relays", static_cast<double>(relay_cpu(report)) / messages},
+                             {"kit", static_cast<double>(report.timing.cpu) / messages}};
+  out["kit"] = {
+      {"send_lateness_ms",
+       {{"p50", report.timing.send_delay.quantile(0.5)}, {"p99", report.timing.send_delay.quantile(0.99)}}},
+      {"longest_stall_ms", static_cast<double>(report.timing.longest_stall) / 1e3},
+      {"stalls", report.timing.stall_count},
+      {"suspended_ms", static_cast<double>(report.timing.suspended) / 1e3}};
+  out["limits"] = {{"memory_mb", scenario.memory_mb},
+                   {"disk_mb", scenario.disk_mb},
+                   {"sockets", scenario.sockets},
+                   {"cores", scenario.cores}};
   out["used"] = json::array();
-  for (const RelayUsage& use : o.relay_usage) {
+  for (const RelayUsage& use : report.relay_usage) {
     json one = {{"memory_mb", static_cast<double>(use.peak_memory) / 1e6},
                 {"temporary_mb", static_cast<double>(use.peak.temporary) / 1e6},
                 {"disk_mb", static_cast<double>(use.peak.disk) / 1e6},
@@ -393,20 +399,20 @@
     }
     out["used"].push_back(std::move(one));
   }
-  out["by_rule"] = by_rule(o);
-  out["classes"] = counts_json(o.class_counts);
-  out["tenants"] = counts_json(o.tenant_counts);
+  out["by_rule"] = by_rule(report);
+  out["classes"] = counts_json(report.class_counts);
+  out["tenants"] = counts_json(report.tenant_counts);
   out["events"] = json::array();
-  for (const EventPlan& e : o.events) {
+  for (const EventPlan& e : report.events) {
     out["events"].push_back({{"at_s", static_cast<double>(e.at) / 1e6},
                              {"for_s", static_cast<double>(e.duration) / 1e6},
                              {"do", e.description},
                              {"partners", e.partners}});
   }
-  out["notes"] = o.notes;
+  out["notes"] = report.notes;
   out["breach_list"] = json::array();
-  for (size_t i = 0; i < o.violations.size(); ++i) {
-    const Violation& b = o.violations[i];
+  for (size_t i = 0; i < report.violations.size(); ++i) {
+    const Violation& b = report.violations[i];
     out["breach_list"].push_back({{"rule", rule_name(b.rule)},
                                   {"number", rule_number(b.rule)},
                                   {"what", b.description},
@@ -414,11 +420,11 @@
                                   {"id", hex(b.id)},
                                   {"relay", b.relay},
                                   {"partner", b.destination},
-                                  {"doubtful", o.uncertain.size() > i && o.uncertain[i]},
+                                  {"doubtful", report.uncertain.size() > i && report.uncertain[i]},
                                   {"history", b.history}});
   }
   out["by_second"] = json::array();
-  for (const SecondCounts& x : o.per_second) {
+  for (const SecondCounts& x : report.per_second) {
     out["by_second"].push_back({{"arrivals", x.arrivals},
                                 {"delivered", x.delivered},
                                 {"refusals", x.refusals},
@@ -429,7 +435,7 @@
                                 {"p99_ms", x.latency.quantile(0.99)}});
   }
   out["samples"] = json::array();
-  for (const Sample& x : o.samples) {
+  for (const Sample& x : report.samples) {
     json relays = json::array();
     for (const RelaySample& r : x.relays) {
       relays.push_back({{"running", r.running},
@@ -445,68 +451,73 @@
   return out.dump(1);
 }
 
-std::string report_html(const Scenario& s, const RunOptions& options, const RunReport& o) {
+std::string report_html(const Scenario& scenario, const RunOptions& options, const RunReport& report) {
   std::string out =
-      "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Rehearsal: " + escape(s.name) +
-      "</title><style>" + kStyle + "</style><h1>" + escape(s.name) + " <small>" + escape(s.title) +
-      "</small></h1>";
-  out += format("<p class=\"verdict k%d\">", static_cast<int>(o.verdict)) +
-         std::string(verdict_text(o.verdict)) + (o.reason.empty() ? "" : ": " + escape(o.reason)) + "</p>";
+      "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Rehearsal: " + escape(scenario.name) +
+      "</title><style>" + kStyle + "</style><h1>" + escape(scenario.name) + " <small>" +
+      escape(scenario.title) + "</small></h1>";
+  out += format("<p class=\"verdict k%d\">", static_cast<int>(report.verdict)) +
+         std::string(verdict_text(report.verdict)) +
+         (report.reason.empty() ? "" : ": " + escape(report.reason)) + "</p>";
   out += format(
       "<p>Seed %llu, digest %s, %.1f s, %llu messages, %d relay(s), %d partners. Worth earned: %.3f of what "
       "was asked for.</p>",
-      static_cast<unsigned long long>(options.seed), hex(o.digest).c_str(), o.seconds,
-      static_cast<unsigned long long>(o.messages), s.relays, s.partners, worth_share(s, o));
-  if (o.violation_count > 0) {
-    out += "<h2>Breaches: " + std::to_string(o.violation_count) + "</h2>";
-    for (size_t i = 0; i < o.violations.size(); ++i) {
-      out += "<details" + std::string(i < 3 ? " open" : "") + "><summary>" +
-             escape(violation_line(o.violations[i], o.uncertain.size() > i && o.uncertain[i])) + "</summary>";
-      if (!o.violations[i].history.empty()) {
+      static_cast<unsigned long long>(options.seed), hex(report.digest).c_str(), report.seconds,
+      static_cast<unsigned long long>(report.messages), scenario.relays, scenario.partners,
+      worth_share(scenario, report));
+  if (report.violation_count > 0) {
+    out += "<h2>Breaches: " + std::to_string(report.violation_count) + "</h2>";
+    for (size_t i = 0; i < report.violations.size(); ++i) {
+      out +=
+          "<details" + std::string(i < 3 ? " open" : "") + "><summary>" +
+          escape(violation_line(report.violations[i], report.uncertain.size() > i && report.uncertain[i])) +
+          "</summary>";
+      if (!report.violations[i].history.empty()) {
         out += "<pre>";
-        for (const std::string& line : o.violations[i].history) out += escape(line) + "\n";
+        for (const std::string& line : report.violations[i].history) out += escape(line) + "\n";
         out += "</pre>";
       }
       out += "</details>";
     }
   }
-  out += counts_table("Classes", "class", o.class_counts);
-  if (!o.tenant_counts.empty()) out += counts_table("Tenants", "tenant", o.tenant_counts);
+  out += counts_table("Classes", "class", report.class_counts);
+  if (!report.tenant_counts.empty()) out += counts_table("Tenants", "tenant", report.tenant_counts);
   out +=
       "<h2>Over time</h2><p class=\"legend\">Shaded: what the script did; point at it for its "
       "name.</p>" +
-      plots(s, o);
+      plots(scenario, report);
   out +=
       "<h2>Limits</h2><p>The most of each relay, as the platform counts.</p><table><tr><th>relay<th>memory "
       "MB<th>state MB<th>files<th>descriptors<th>sockets<th>processes<th>busiest second, of a core<th>growth "
       "MB a "
       "minute</tr>";
-  for (size_t i = 0; i < o.relay_usage.size(); ++i) {
-    const RelayUsage& use = o.relay_usage[i];
+  for (size_t i = 0; i < report.relay_usage.size(); ++i) {
+    const RelayUsage& use = report.relay_usage[i];
     out +=
         format("<tr><td>%zu<td>%.1f of %d<td>%.3f of %.3f<td>%zu<td>%d of %d<td>%d of %d<td>%d<td>%.0f%%<td>",
-               i, static_cast<double>(use.peak_memory) / 1e6, s.memory_mb,
-               static_cast<double>(use.peak.disk) / 1e6, s.disk_mb, use.peak.files, use.peak.descriptors,
-               s.sockets, use.peak.sockets, s.sockets, use.peak.processes, 100 * use.peak_cpu_share) +
+               i, static_cast<double>(use.peak_memory) / 1e6, scenario.memory_mb,
+               static_cast<double>(use.peak.disk) / 1e6, scenario.disk_mb, use.peak.files,
+               use.peak.descriptors, scenario.sockets, use.peak.sockets, scenario.sockets, use.peak.processes,
+               100 * use.peak_cpu_share) +
         (use.growth.evaluated ? format("%.2f", use.growth.mb_per_minute) : "run too short") + "</tr>";
   }
   out += "</table><h2>Script</h2><table><tr><th>what<th>at<th>for</tr>";
-  for (const EventPlan& e : o.events) {
+  for (const EventPlan& e : report.events) {
     out += "<tr><td>" + escape(e.description) +
            format("<td>%.1f s<td>%.1f s</tr>", static_cast<double>(e.at) / 1e6,
                   static_cast<double>(e.duration) / 1e6);
   }
   out += "</table>";
-  for (const std::string& note : o.notes) out += "<p>" + escape(note) + "</p>";
+  for (const std::string& note : report.notes) out += "<p>" + escape(note) + "</p>";
   out += format(
       "<h2>The kit itself</h2><p>Messages were handed in %.2f ms late at the median and %.2f ms at 99%%; its "
       "longest stall was %.1f ms, and it used %.1f s of CPU.</p></html>\n",
-      o.timing.send_delay.quantile(0.5), o.timing.send_delay.quantile(0.99),
-      static_cast<double>(o.timing.longest_stall) / 1e3, static_cast<double>(o.timing.cpu) / 1e6);
+      report.timing.send_delay.quantile(0.5), report.timing.send_delay.quantile(0.99),
+      static_cast<double>(report.timing.longest_stall) / 1e3, static_cast<double>(report.timing.cpu) / 1e6);
   return out;
 }
 
-void write_report(const Scenario& s, const RunOptions& options, const RunReport& o) {
+void write_report(const Scenario& scenario, const RunOptions& options, const RunReport& report) {
   const auto put = [&](const char* name, const std::string& bytes) {
     const auto path = options.folder / name;
     std::ofstream file(path, std::ios::binary);
@@ -514,8 +525,8 @@
     file.close();
     if (!file) throw std::runtime_error("cannot write " + path.string());
   };
-  put("report.json", report_json(s, options, o));
-  put("report.html", report_html(s, options, o));
+  put("report.json", report_json(scenario, options, report));
+  put("report.html", report_html(scenario, options, report));
 }
 
 }  // namespace umberhoist::rehearsal
--- a/rehearsal/scenario.cpp
+++ b/rehearsal/scenario.cpp
@@ -48,7 +48,7 @@
     if (node == nullptr) return;
     const auto value = node->value<double>();
     if (!node->is_number() || !value || !(*value >= low && *value <= high))
-      wrong(*node, key, describe_range(low, high));
+      reject_value(*node, key, describe_range(low, high));
     out = *value;
   }
 
@@ -57,7 +57,7 @@
     if (node == nullptr) return;
     const auto value = node->value<int64_t>();
     if (!node->is_integer() || !value || *value < low || *value > high) {
-      wrong(*node, key, "a whole number, " + std::to_string(low) + " to " + std::to_string(high));
+      reject_value(*node, key, "a whole number, " + std::to_string(low) + " to " + std::to_string(high));
     }
     out = static_cast<int>(*value);
   }
@@ -65,14 +65,14 @@
   void flag(const char* key, bool& out) {
     const toml::node* node = get(key);
     if (node == nullptr) return;
-    if (!node->is_boolean()) wrong(*node, key, "true or false");
+    if (!node->is_boolean()) reject_value(*node, key, "true or false");
     out = *node->value<bool>();
   }
 
   void string(const char* key, std::string& out) {
     const toml::node* node = get(key);
     if (node == nullptr) return;
-    if (!node->is_string()) wrong(*node, key, "a string");
+    if (!node->is_string()) reject_value(*node, key, "a string");
     out = *node->value<std::string>();
   }
 
@@ -83,13 +83,14 @@
         "one number or two in an array, the lower first, each " + describe_range(low, high);
     const auto within = [&](const toml::node& item) {
       const auto value = item.value<double>();
-      if (!item.is_number() || !value || !(*value >= low && *value <= high)) wrong(item, key, expected);
+      if (!item.is_number() || !value || !(*value >= low && *value <= high))
+        reject_value(item, key, expected);
       return *value;
     };
     if (const auto* array = node->as_array()) {
-      if (array->size() != 2) wrong(*node, key, expected);
+      if (array->size() != 2) reject_value(*node, key, expected);
       out = {within(*array->get(0)), within(*array->get(1))};
-      if (out.low > out.high) wrong(*node, key, expected);
+      if (out.low > out.high) reject_value(*node, key, expected);
     } else {
       out.low = out.high = within(*node);
     }
@@ -99,9 +100,9 @@
     const toml::node* node = get(key);
     if (node == nullptr) return;
     const auto* array = node->as_array();
-    if (array == nullptr) wrong(*node, key, "an array of strings");
+    if (array == nullptr) reject_value(*node, key, "an array of strings");
     for (const toml::node& item : *array) {
-      if (!item.is_string()) wrong(item, key, "an array of strings");
+      if (!item.is_string()) reject_value(item, key, "an array of strings");
       out.push_back(*item.value<std::string>());
     }
   }
@@ -112,14 +113,14 @@
     if (node == nullptr) return;
     const auto value = node->value<std::string>();
     const auto it = node->is_string() && value ? map.find(*value) : map.end();
-    if (it == map.end()) wrong(*node, key, "one of " + joined_names(map));
+    if (it == map.end()) reject_value(*node, key, "one of " + joined_names(map));
     out = it->second;
   }
 
   const toml::table* table(const char* key) {
     const toml::node* node = get(key);
     if (node == nullptr) return nullptr;
-    if (!node->is_table()) wrong(*node, key, "a table");
+    if (!node->is_table()) reject_value(*node, key, "a table");
     return node->as_table();
   }
 
@@ -128,9 +129,9 @@
     const toml::node* node = get(key);
     if (node == nullptr) return out;
     const auto* array = node->as_array();
-    if (array == nullptr) wrong(*node, key, "an array of tables, [[" + std::string(key) + "]]");
+    if (array == nullptr) reject_value(*node, key, "an array of tables, [[" + std::string(key) + "]]");
     for (const toml::node& item : *array) {
-      if (!item.is_table()) wrong(item, key, "an array of tables, [[" + std::string(key) + "]]");
+      if (!item.is_table()) reject_value(item, key, "an array of tables, [[" + std::string(key) + "]]");
       out.push_back(item.as_table());
     }
     return out;
@@ -154,8 +155,8 @@
     }
   }
 
-  [[noreturn]] void wrong(const char* key, const std::string& expected) const {
-    wrong(*table_.get(key), key, expected);
+  [[noreturn]] void reject_value(const char* key, const std::string& expected) const {
+    reject_value(*table_.get(key), key, expected);
   }
 
   std::string where() const { return source_position(file_, table_.source()); }
@@ -166,7 +167,7 @@
     return table_.get(key);
   }
 
-  [[noreturn]] void wrong(const toml::node& node, const char* key, const std::string& expected) const {
+  [[noreturn]] void reject_value(const toml::node& node, const char* key, const std::string& expected) const {
     throw ScenarioError(source_position(file_, node.source()) + ": '" + key + "' of " + label() +
                         ": expected " + expected);
   }
@@ -238,7 +239,7 @@
   in.reject_unknown_keys();
   for (const std::string& kind : out.kinds) {
     if (std::none_of(kinds.begin(), kinds.end(), [&](const KindSpec& k) { return k.name == kind; })) {
-      in.wrong("kinds", "names of [[kind]] tables; '" + kind + "' is none");
+      in.reject_value("kinds", "names of [[kind]] tables; '" + kind + "' is none");
     }
   }
   return out;
@@ -256,7 +257,7 @@
   if (out.times > 1) in.require("every_s");
   in.number("every_s", out.every_s, 0.01, kDaySeconds);
   if (out.at_s + (out.times - 1) * out.every_s > scenario.seconds) {
-    in.wrong("times", "no more than fit into the scenario's seconds");
+    in.reject_value("times", "no more than fit into the scenario's seconds");
   }
   in.one_of("do", actions(), out.action);
   in.string("kind", out.kind);
@@ -271,7 +272,7 @@
   in.reject_unknown_keys();
   const auto kind_known = [&](const KindSpec& k) { return k.name == out.kind; };
   if (!out.kind.empty() && std::none_of(scenario.kinds.begin(), scenario.kinds.end(), kind_known)) {
-    in.wrong("kind", "the name of a [[kind]] table");
+    in.reject_value("kind", "the name of a [[kind]] table");
   }
   const bool of_partners = out.action <= Action::kWithdraw;
   const int targets = !out.kind.empty() + !out.partner.empty() + (out.largest > 0) + (out.share > 0);
@@ -306,7 +307,7 @@
   in.reject_unknown_keys();
   // The name is sent in the comma-separated key=value list of each request.
   if (out.name.empty() || out.name.find_first_of(",= \t\r\n") != std::string::npos) {
-    in.wrong("name", "a name without blanks, commas and equals signs");
+    in.reject_value("name", "a name without blanks, commas and equals signs");
   }
   return out;
 }
@@ -325,13 +326,14 @@
   in.reject_unknown_keys();
   const auto known = [&](const ClassSpec& c) { return c.name == out.of_class; };
   if (!out.of_class.empty() && std::none_of(scenario.classes.begin(), scenario.classes.end(), known)) {
-    in.wrong("class", "the name of a [[class]] table");
+    in.reject_value("class", "the name of a [[class]] table");
   }
   const auto named = [&](const TenantSpec& t) { return t.name == out.of_tenant; };
   if (!out.of_tenant.empty() && std::none_of(scenario.tenants.begin(), scenario.tenants.end(), named)) {
-    in.wrong("tenant", "the name of a [[tenant]] table");
+    in.reject_value("tenant", "the name of a [[tenant]] table");
   }
-  if (!out.of_class.empty() && !out.of_tenant.empty()) in.wrong("tenant", "either a class or a tenant");
+  if (!out.of_class.empty() && !out.of_tenant.empty())
+    in.reject_value("tenant", "either a class or a tenant");
   if (!in.has("delivered") && !in.has("in_time") && !in.has("failed") && !in.has("refused") &&
       !in.has("attempts")) {
     throw ScenarioError(
@@ -465,12 +467,12 @@
     TenantSpec tenant = read_tenant(*item, file);
     const auto same = [&](const TenantSpec& t) { return t.name == tenant.name; };
     if (std::any_of(out.tenants.begin(), out.tenants.end(), same)) {
-      TableReader(*item, file, "tenant").wrong("name", "another name in each [[tenant]]");
+      TableReader(*item, file, "tenant").reject_value("name", "another name in each [[tenant]]");
     }
     out.tenants.push_back(std::move(tenant));
   }
-  if (out.kinds.empty()) in.wrong("kind", "at least one [[kind]]");
-  if (out.classes.empty()) in.wrong("class", "at least one [[class]]");
+  if (out.kinds.empty()) in.reject_value("kind", "at least one [[kind]]");
+  if (out.classes.empty()) in.reject_value("class", "at least one [[class]]");
   for (const toml::table* item : in.tables("event")) out.events.push_back(read_event(*item, file, out));
   for (const toml::table* item : in.tables("expect")) out.expects.push_back(read_expect(*item, file, out));
   in.reject_unknown_keys();
@@ -530,12 +532,12 @@
   return parse_scenario({std::istreambuf_iterator<char>(file), {}}, file_or_name, sets);
 }
 
-std::string describe(const Scenario& s) {
+std::string describe(const Scenario& scenario) {
   std::ostringstream out;
-  out << s.name << ": " << s.title << "\n"
-      << s.relays << " relay(s), " << s.partners << " partners, " << s.load.rate << " messages/s for "
-      << s.seconds << " s, seed " << s.seed << "\n";
-  for (const KindSpec& k : s.kinds) {
+  out << scenario.name << ": " << scenario.title << "\n"
+      << scenario.relays << " relay(s), " << scenario.partners << " partners, " << scenario.load.rate
+      << " messages/s for " << scenario.seconds << " s, seed " << scenario.seed << "\n";
+  for (const KindSpec& k : scenario.kinds) {
     out << "  kind " << k.name << ": " << k.share << " share(s), " << k.service_ms.low << " to "
         << k.service_ms.high << " ms, limit "
         << (k.limit == Limit::kNone   ? "none"
@@ -543,29 +545,30 @@
                                       : "window")
         << "\n";
   }
-  for (const ClassSpec& c : s.classes) {
+  for (const ClassSpec& c : scenario.classes) {
     out << "  class " << c.name << ": " << c.share << " share(s), "
         << (c.effect == Effect::kSafe    ? "safe"
             : c.effect == Effect::kKeyed ? "keyed"
                                          : "unsafe")
         << ", given up at " << c.give_up_s << " s\n";
   }
-  for (const TenantSpec& t : s.tenants) {
+  for (const TenantSpec& t : scenario.tenants) {
     out << "  tenant " << t.name << ": " << t.share << " share(s), ";
     if (t.quota_per_s > 0) {
-      out << t.quota_per_s << " messages/s at full worth, beyond that " << 100 * s.over_share_worth << "%\n";
+      out << t.quota_per_s << " messages/s at full worth, beyond that " << 100 * scenario.over_share_worth
+          << "%\n";
     } else {
       out << "no quota\n";
     }
   }
-  for (const EventSpec& e : s.events) {
+  for (const EventSpec& e : scenario.events) {
     out << "  at " << e.at_s << " s: " << action_name(e.action) << describe_targets(e);
     if (e.for_s > 0) out << " for " << e.for_s << " s";
     if (e.times > 1) out << ", " << e.times << " times, every " << e.every_s << " s";
     if (e.amount > 0) out << ", amount " << e.amount;
     out << "\n";
   }
-  for (const ExpectSpec& e : s.expects) {
+  for (const ExpectSpec& e : scenario.expects) {
     out << "  expected of "
         << (!e.of_tenant.empty() ? "tenant " + e.of_tenant
             : e.of_class.empty() ? "all classes"
