--- a/state/bytes.h
+++ b/state/bytes.h
@@ -1,5 +1,5 @@
-// Numbers and texts in a row of bytes, written and taken apart again. Little-endian, as all machines that it
-// is built for; a text has its length before it, in as many bytes as the format at hand says.
+// Serialization of numbers and strings. Numbers are in the machine's byte order, which is little-endian on
+// all supported platforms. A string is preceded by its length, whose width depends on the format.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
     out_.append(raw, sizeof raw);
     return *this;
   }
-  ByteWriter& write_string(std::string_view value) {  // up to 64 KiB
+  ByteWriter& write_string(std::string_view value) {  // shorter than 64 KiB: the length takes 16 bits
     write_number(static_cast<uint16_t>(value.size()));
     return write_bytes(value);
   }
@@ -32,7 +32,7 @@
   std::string out_;
 };
 
-// Once something was not there, it is not good, and all that is read further is empty.
+// After a read past the end, ok() is false and all further reads return zeros and empty strings.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
--- a/state/files.cpp
+++ b/state/files.cpp
@@ -12,9 +12,9 @@
 namespace umberhoist::state {
 namespace {
 
-class RealFiles : public Files {
+class PosixFiles : public Files {
  public:
-  RealFiles(std::filesystem::path folder, bool read_only)
+  PosixFiles(std::filesystem::path folder, bool read_only)
       : folder_(std::move(folder)), read_only_(read_only) {}
 
   std::vector<std::string> list() override {
@@ -38,16 +38,16 @@
     } while (done < 0 && errno == EINTR);
     return done;
   }
-  ssize_t read(int file, size_t at, char* to, size_t most) override {
+  ssize_t read(int file, size_t offset, char* buffer, size_t max_bytes) override {
     ssize_t done = 0;
     do {
-      done = ::pread(file, to, most, static_cast<off_t>(at));
+      done = ::pread(file, buffer, max_bytes, static_cast<off_t>(offset));
     } while (done < 0 && errno == EINTR);
     return done;
   }
   ssize_t size(int file) override {
-    struct stat facts {};
-    return ::fstat(file, &facts) == 0 ? static_cast<ssize_t>(facts.st_size) : -1;
+    struct stat status {};
+    return ::fstat(file, &status) == 0 ? static_cast<ssize_t>(status.st_size) : -1;
   }
   bool truncate(int file, size_t size) override { return ::ftruncate(file, static_cast<off_t>(size)) == 0; }
   bool rename(const std::string& from, const std::string& to) override {
@@ -58,9 +58,9 @@
   bool sync_folder() override {
     const int folder = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (folder < 0) return false;
-    const bool good = ::fsync(folder) == 0;
+    const bool ok = ::fsync(folder) == 0;
     ::close(folder);
-    return good;
+    return ok;
   }
   void drop_page_cache(int file) override { ::posix_fadvise(file, 0, 0, POSIX_FADV_DONTNEED); }
   void close(int file) override { ::close(file); }
@@ -75,13 +75,13 @@
 
 std::unique_ptr<Files> make_posix_files(const std::filesystem::path& folder, bool read_only) {
   std::error_code error;
-  const bool there = std::filesystem::is_directory(folder, error);
-  if (!there || ::access(folder.c_str(), R_OK | X_OK | (read_only ? 0 : W_OK)) != 0) {
+  const bool exists = std::filesystem::is_directory(folder, error);
+  if (!exists || ::access(folder.c_str(), R_OK | X_OK | (read_only ? 0 : W_OK)) != 0) {
     throw std::runtime_error("state folder " + folder.string() + ": " +
-                             (there ? std::strerror(errno) : "no such folder") +
+                             (exists ? std::strerror(errno) : "no such folder") +
                              "; expected a folder that can be read" + (read_only ? "" : " and written"));
   }
-  return std::make_unique<RealFiles>(folder, read_only);
+  return std::make_unique<PosixFiles>(folder, read_only);
 }
 
 }  // namespace umberhoist::state
