--- a/state/inspect.cpp
+++ b/state/inspect.cpp
@@ -21,7 +21,7 @@
   out.offset = item.offset;
   out.size = item.size;
   out.kind = item.kind;
-  const auto take = [&](auto decoded) {
+  const auto set_content = [&](auto decoded) {
     if (!decoded) return;
     out.readable = true;
     out.sequence = decoded->first;
@@ -36,108 +36,109 @@
       }
       break;
     case RecordKind::kAttempt:
-      take(decode_attempt(item.payload));
+      set_content(decode_attempt(item.payload));
       break;
     case RecordKind::kNotExecuted:
-      take(decode_not_executed(item.payload));
+      set_content(decode_not_executed(item.payload));
       break;
     case RecordKind::kNotice:
-      take(decode_notice(item.payload));
+      set_content(decode_notice(item.payload));
       break;
     case RecordKind::kDone:
-      if (const auto order = decode_done(item.payload)) {
+      if (const auto sequence = decode_done(item.payload)) {
         out.readable = true;
-        out.sequence = *order;
+        out.sequence = *sequence;
       }
       break;
     case RecordKind::kMetadata:
-      if (auto fact = decode_metadata(item.payload)) {
+      if (auto entry = decode_metadata(item.payload)) {
         out.readable = true;
-        out.content = std::move(*fact);
+        out.content = std::move(*entry);
       }
       break;
   }
   return out;
 }
 
-// What the records say together, in any order and any number of them: for each message the union of what is
-// known, and that it is over if any record says so.
-class Fold {
+// Combines records into the state of each message, independent of their order and of duplicates: attempts and
+// notices are merged, and a message is finished if any record says so.
+class StateBuilder {
  public:
   void add(const InspectedRecord& record) {
     if (!record.readable) return;
-    if (const auto* fact = std::get_if<MetadataEntry>(&record.content)) {
-      facts[fact->name] = fact->value;
+    if (const auto* entry = std::get_if<MetadataEntry>(&record.content)) {
+      metadata[entry->name] = entry->value;
       return;
     }
     if (record.kind == RecordKind::kDone) {
-      over.insert(record.sequence);
+      finished_messages.insert(record.sequence);
       return;
     }
-    About& about = messages[record.sequence];
+    MessageState& message = messages[record.sequence];
     if (const auto* accepted = std::get_if<AcceptedMessage>(&record.content)) {
-      about.accepted = *accepted;
-      for (const Attempt& t : accepted->attempts) about.add(t);
+      message.accepted = *accepted;
+      for (const Attempt& t : accepted->attempts) message.add(t);
       if (accepted->pending_notice)
-        about.owed = NoticeRecord{accepted->pending_notice->returned, accepted->pending_notice->retry_after};
+        message.notice =
+            NoticeRecord{accepted->pending_notice->returned, accepted->pending_notice->retry_after};
     } else if (const auto* attempt = std::get_if<Attempt>(&record.content)) {
-      about.add(*attempt);
+      message.add(*attempt);
     } else if (const int* number = std::get_if<int>(&record.content)) {
-      about.never.insert(*number);
-    } else if (const auto* owed = std::get_if<NoticeRecord>(&record.content)) {
-      about.owed = *owed;
+      message.not_executed.insert(*number);
+    } else if (const auto* notice = std::get_if<NoticeRecord>(&record.content)) {
+      message.notice = *notice;
     }
   }
 
-  void close(InspectedFolder& out) {
+  void finish(InspectedFolder& out) {
     std::map<std::string, uint64_t> newest;
-    for (auto& [order, about] : messages) {
-      if (over.contains(order)) continue;
-      if (!about.accepted) {
+    for (auto& [sequence, message] : messages) {
+      if (finished_messages.contains(sequence)) continue;
+      if (!message.accepted) {
         ++out.orphans;
         continue;
       }
-      AcceptedMessage a = std::move(*about.accepted);
+      AcceptedMessage a = std::move(*message.accepted);
       a.attempts.clear();
-      for (auto& [number, attempt] : about.attempts) {
-        attempt.not_executed = attempt.not_executed || about.never.contains(number);
+      for (auto& [number, attempt] : message.attempts) {
+        attempt.not_executed = attempt.not_executed || message.not_executed.contains(number);
         a.attempts.push_back(attempt);
       }
-      if (about.owed)
+      if (message.notice)
         a.pending_notice =
-            firspool::relay::Notice{a.message.id, about.owed->returned, about.owed->retry_after};
-      // An id that came again while the end of its first time cannot be read: the newer one counts, with what
-      // the older may have done held against it.
-      if (const auto older = newest.find(a.message.id); older != newest.end()) {
-        for (const Attempt& t : out.live_messages.at(older->second).attempts) {
+            firspool::relay::Notice{a.message.id, message.notice->returned, message.notice->retry_after};
+      // The id was accepted again and the done record of its first message cannot be read: the newer message
+      // counts, and inherits the older one's attempts, as they may have been executed.
+      if (const auto earlier = newest.find(a.message.id); earlier != newest.end()) {
+        for (const Attempt& t : out.live_messages.at(earlier->second).attempts) {
           const auto same = [&](const Attempt& own) { return own.number == t.number; };
           if (std::none_of(a.attempts.begin(), a.attempts.end(), same)) a.attempts.push_back(t);
         }
-        out.live_messages.erase(older->second);
+        out.live_messages.erase(earlier->second);
       }
-      newest[a.message.id] = order;
-      out.live_messages[order] = std::move(a);
+      newest[a.message.id] = sequence;
+      out.live_messages[sequence] = std::move(a);
     }
-    for (auto& [name, value] : facts) {
+    for (auto& [name, value] : metadata) {
       if (!value.empty()) out.metadata[name] = std::move(value);
     }
   }
 
  private:
-  struct About {
+  struct MessageState {
     std::optional<AcceptedMessage> accepted;
     std::map<int, Attempt> attempts;
-    std::set<int> never;
-    std::optional<NoticeRecord> owed;
+    std::set<int> not_executed;
+    std::optional<NoticeRecord> notice;
     void add(const Attempt& t) {
-      const auto [it, fresh] = attempts.try_emplace(t.number, t);
-      if (!fresh && t.sent != 0)
+      const auto [it, inserted] = attempts.try_emplace(t.number, t);
+      if (!inserted && t.sent != 0)
         it->second = {t.number, t.sent, t.zone, t.not_executed || it->second.not_executed};
     }
   };
-  std::map<uint64_t, About> messages;
-  std::set<uint64_t> over;
-  std::map<std::string, std::string> facts;
+  std::map<uint64_t, MessageState> messages;
+  std::set<uint64_t> finished_messages;
+  std::map<std::string, std::string> metadata;
 };
 
 }  // namespace
@@ -151,12 +152,12 @@
          });
 }
 
-InspectedFolder inspect_folder(Files& files, const std::function<void(const InspectedRecord&)>& each) {
+InspectedFolder inspect_folder(Files& files, const std::function<void(const InspectedRecord&)>& on_record) {
   InspectedFolder out;
   std::vector<std::string> names = files.list();
   std::sort(names.begin(), names.end());
   std::string owner;
-  Fold fold;
+  StateBuilder state_builder;
   for (const std::string& name : names) {
     const int file = files.open(name);
     if (file < 0) {
@@ -171,41 +172,42 @@
       files.close(file);
       continue;
     }
-    InspectedSegment seen;
-    seen.name = name;
-    seen.size = size;
-    char head[kHeaderBytes];
-    const ssize_t got = files.read(file, 0, head, sizeof head);
-    if (got > 0) seen.header = decode_header({head, static_cast<size_t>(got)});
-    if (!seen.header) {
-      seen.reject_reason = size == 0 ? "it is empty" : "its header cannot be read";
-    } else if (seen.header->version < kMinFormatVersion || seen.header->version > kFormatVersion) {
-      seen.reject_reason = "it is of version " + std::to_string(seen.header->version);
-    } else if (seen.header->segment_number != std::stoull(name.substr(kPrefix.size()))) {
-      seen.reject_reason =
-          "it is segment " + std::to_string(seen.header->segment_number) + " under another name";
-    } else if (!owner.empty() && seen.header->owner != owner) {
-      seen.reject_reason = "it belongs to relay " + seen.header->owner + ", those before it to " + owner;
+    InspectedSegment segment;
+    segment.name = name;
+    segment.size = size;
+    char header_bytes[kHeaderBytes];
+    const ssize_t bytes_read = files.read(file, 0, header_bytes, sizeof header_bytes);
+    if (bytes_read > 0) segment.header = decode_header({header_bytes, static_cast<size_t>(bytes_read)});
+    if (!segment.header) {
+      segment.reject_reason = size == 0 ? "it is empty" : "its header cannot be read";
+    } else if (segment.header->version < kMinFormatVersion || segment.header->version > kFormatVersion) {
+      segment.reject_reason = "it is of version " + std::to_string(segment.header->version);
+    } else if (segment.header->segment_number != std::stoull(name.substr(kPrefix.size()))) {
+      segment.reject_reason =
+          "it is segment " + std::to_string(segment.header->segment_number) + " under another name";
+    } else if (!owner.empty() && segment.header->owner != owner) {
+      segment.reject_reason =
+          "it belongs to relay " + segment.header->owner + ", those before it to " + owner;
     }
-    if (seen.reject_reason.empty()) {
-      owner = seen.header->owner;
-      SegmentReader reader(files, file, seen.header->salt);
+    if (segment.reject_reason.empty()) {
+      owner = segment.header->owner;
+      SegmentReader reader(files, file, segment.header->salt);
       for (auto item = reader.next(); item.type != SegmentReader::Item::Type::kEnd; item = reader.next()) {
         if (item.type == SegmentReader::Item::Type::kDamage) {
-          seen.damaged_ranges.push_back({item.offset, item.size, item.is_tail});
+          segment.damaged_ranges.push_back({item.offset, item.size, item.is_tail});
           continue;
         }
         const InspectedRecord record = decode(name, item);
-        ++seen.records[record.kind];
-        seen.malformed_records += !record.readable;
-        fold.add(record);
-        each(record);
+        ++segment.records[record.kind];
+        segment.malformed_records += !record.readable;
+        state_builder.add(record);
+        on_record(record);
       }
     }
     files.close(file);
-    out.segments.push_back(std::move(seen));
+    out.segments.push_back(std::move(segment));
   }
-  fold.close(out);
+  state_builder.finish(out);
   return out;
 }
 
--- a/state/legacy.cpp
+++ b/state/legacy.cpp
@@ -1,5 +1,5 @@
-// Reads the journal of version 1: one file of records with length, CRC-32 and payload, and no way to find the
-// next one but by the lengths. Only read, to be carried over.
+// Reads the journal of format version 1 for migration: one file of records, each with its length, CRC-32 and
+// payload. Records have no marker; the next one is found by the length.
 #include <algorithm>
 #include <boost/crc.hpp>
 #include <cstring>
@@ -10,24 +10,24 @@
 namespace umberhoist::state {
 namespace {
 
-constexpr size_t kHead = 8;
+constexpr size_t kRecordHeaderBytes = 8;
 
-uint32_t checksum(std::string_view bytes) {
+uint32_t checksum(std::string_view contents) {
   boost::crc_32_type crc;
-  crc.process_bytes(bytes.data(), bytes.size());
+  crc.process_bytes(contents.data(), contents.size());
   return crc.checksum();
 }
 
-std::optional<std::string_view> whole(std::string_view bytes, size_t at) {
-  if (bytes.size() - at < kHead) return {};
+std::optional<std::string_view> read_record(std::string_view contents, size_t offset) {
+  if (contents.size() - offset < kRecordHeaderBytes) return {};
   uint32_t head[2];
-  std::memcpy(head, bytes.data() + at, kHead);
-  if (head[0] == 0 || head[0] > bytes.size() - at - kHead) return {};
-  const auto payload = bytes.substr(at + kHead, head[0]);
+  std::memcpy(head, contents.data() + offset, kRecordHeaderBytes);
+  if (head[0] == 0 || head[0] > contents.size() - offset - kRecordHeaderBytes) return {};
+  const auto payload = contents.substr(offset + kRecordHeaderBytes, head[0]);
   return checksum(payload) == head[1] ? std::optional(payload) : std::nullopt;
 }
 
-void apply(std::string_view payload, LegacyJournal& out, std::map<std::string, size_t>& places) {
+void apply_record(std::string_view payload, LegacyJournal& out, std::map<std::string, size_t>& index_by_id) {
   ByteReader in(payload);
   const char kind = in.read_number<char>();
   const std::string id = in.read_string<int64_t>();
@@ -50,13 +50,13 @@
     a.due = in.read_number<int64_t>();
     a.message.body = in.read_string<int64_t>();
     if (!in.ok()) return;
-    places[id] = out.messages.size();
+    index_by_id[id] = out.messages.size();
     out.messages.push_back(std::move(a));
     return;
   }
-  const auto place = places.find(id);
-  if (place == places.end()) return;
-  AcceptedMessage& a = out.messages[place->second];
+  const auto position = index_by_id.find(id);
+  if (position == index_by_id.end()) return;
+  AcceptedMessage& a = out.messages[position->second];
   if (kind == 'T') {
     Attempt t;
     t.number = static_cast<int>(in.read_number<int64_t>());
@@ -70,7 +70,7 @@
     const bool returned = in.read_number<int64_t>() != 0;
     a.pending_notice = Notice{id, returned, in.read_number<int64_t>()};
   } else if (kind == 'D') {
-    places.erase(place);
+    index_by_id.erase(position);
   }
 }
 
@@ -79,38 +79,39 @@
 std::optional<LegacyJournal> read_legacy_journal(Files& files, const std::string& name) {
   const int file = files.open(name);
   if (file < 0) return {};
-  std::string bytes(static_cast<size_t>(std::max<ssize_t>(0, files.size(file))), '\0');
-  size_t got = 0;
-  while (got < bytes.size()) {
-    const ssize_t n = files.read(file, got, bytes.data() + got, bytes.size() - got);
-    if (n <= 0) break;
-    got += static_cast<size_t>(n);
+  std::string contents(static_cast<size_t>(std::max<ssize_t>(0, files.size(file))), '\0');
+  size_t bytes_read = 0;
+  while (bytes_read < contents.size()) {
+    const ssize_t count =
+        files.read(file, bytes_read, contents.data() + bytes_read, contents.size() - bytes_read);
+    if (count <= 0) break;
+    bytes_read += static_cast<size_t>(count);
   }
   files.close(file);
-  bytes.resize(got);
+  contents.resize(bytes_read);
   LegacyJournal out;
-  std::map<std::string, size_t> places;
-  for (size_t at = 0; at < bytes.size();) {
-    if (const auto payload = whole(bytes, at)) {
-      apply(*payload, out, places);
-      at += kHead + payload->size();
+  std::map<std::string, size_t> index_by_id;
+  for (size_t offset = 0; offset < contents.size();) {
+    if (const auto payload = read_record(contents, offset)) {
+      apply_record(*payload, out, index_by_id);
+      offset += kRecordHeaderBytes + payload->size();
       continue;
     }
-    // Damage or a torn tail: the next whole record lies wherever one can be read.
-    const size_t from = at;
+    // Damaged bytes or a torn tail: try each following offset until a valid record is found.
+    const size_t damage_start = offset;
     do {
-      ++at;
-    } while (at < bytes.size() && !whole(bytes, at));
-    if (at < bytes.size()) out.damaged_bytes += at - from;
+      ++offset;
+    } while (offset < contents.size() && !read_record(contents, offset));
+    if (offset < contents.size()) out.damaged_bytes += offset - damage_start;
   }
-  std::vector<AcceptedMessage> left;
+  std::vector<AcceptedMessage> live_messages;
   for (size_t i = 0; i < out.messages.size(); ++i) {
-    const auto place = places.find(out.messages[i].message.id);
-    if (place == places.end() || place->second != i) continue;
-    left.push_back(std::move(out.messages[i]));
-    left.back().sequence = left.size();
+    const auto position = index_by_id.find(out.messages[i].message.id);
+    if (position == index_by_id.end() || position->second != i) continue;
+    live_messages.push_back(std::move(out.messages[i]));
+    live_messages.back().sequence = live_messages.size();
   }
-  out.messages = std::move(left);
+  out.messages = std::move(live_messages);
   return out;
 }
 
