--- a/tests/state/journal_test.cpp
+++ b/tests/state/journal_test.cpp
@@ -1,5 +1,5 @@
-// The journal against a plain reference model and a folder in memory: killed at every byte, failing at every
-// operation, flipped in every byte.
+// Compares the journal with a reference model on an in-memory folder: after a kill at every byte, a failure
+// of every operation, and a flipped bit in every byte.
 #include "state/journal.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   out.message_class = "keyed";
   out.key = "key-" + id;
   out.destination = 7;
-  if (id.size() % 2 == 0) out.tenant = "title-" + id;  // others name none
+  if (id.size() % 2 == 0) out.tenant = "title-" + id;  // messages with ids of odd length have none
   out.body = std::string(body, id.empty() ? 'x' : id.back());
   return out;
 }
@@ -30,69 +30,70 @@
 
 // ---- The reference: what was claimed ----
 
-struct Known {
+struct ModelMessage {
   Micros due = 0;
   std::string body, tenant;
-  std::map<int, std::pair<Micros, int>> unsettled;
+  std::map<int, std::pair<Micros, int>> maybe_executed;
   int attempts = 0;
-  std::optional<std::pair<bool, Micros>> owed;
-  bool operator==(const Known&) const = default;
+  std::optional<std::pair<bool, Micros>> notice;
+  bool operator==(const ModelMessage&) const = default;
 };
 
 struct Model {
-  std::vector<std::pair<std::string, Known>> messages;  // in order of acceptance
-  std::map<std::string, std::string> facts;
+  std::vector<std::pair<std::string, ModelMessage>> messages;  // in order of acceptance
+  std::map<std::string, std::string> metadata;
   bool operator==(const Model&) const = default;
 
-  Known* find(const std::string& id) {
-    for (auto& [name, known] : messages) {
-      if (name == id) return &known;
+  ModelMessage* find(const std::string& id) {
+    for (auto& [name, message_state] : messages) {
+      if (name == id) return &message_state;
     }
     return nullptr;
   }
 };
 
-Model recovered(Files& files, size_t disk, RecoveryReport* findings = nullptr) {
+Model recover_model(Files& files, size_t disk, RecoveryReport* report = nullptr) {
   Journal journal(files, options(disk, 99));
   Model out;
   journal.recover([&](RecoveredMessage r) {
-    Known known{r.due, r.message.body, r.message.tenant, r.maybe_executed, r.attempts, {}};
-    if (r.pending_notice) known.owed = {r.pending_notice->returned, r.pending_notice->retry_after};
-    out.messages.emplace_back(r.message.id, std::move(known));
+    ModelMessage message_state{r.due, r.message.body, r.message.tenant, r.maybe_executed, r.attempts, {}};
+    if (r.pending_notice) message_state.notice = {r.pending_notice->returned, r.pending_notice->retry_after};
+    out.messages.emplace_back(r.message.id, std::move(message_state));
   });
-  out.facts = journal.metadata();
-  if (findings != nullptr) *findings = journal.recovery_report();
+  out.metadata = journal.metadata();
+  if (report != nullptr) *report = journal.recovery_report();
   return out;
 }
 
-// The same, by the second reader.
-Model inspected(Files& files) {
+// The same state as read by inspect_folder().
+Model inspect_model(Files& files) {
   const InspectedFolder seen = inspect_folder(files, [](const InspectedRecord&) {});
   Model out;
   for (const auto& [order, a] : seen.live_messages) {
-    Known known{a.due, a.message.body, a.message.tenant, {}, 0, {}};
+    ModelMessage message_state{a.due, a.message.body, a.message.tenant, {}, 0, {}};
     for (const Attempt& t : a.attempts) {
-      known.attempts = std::max(known.attempts, t.number + 1);
-      if (!t.not_executed) known.unsettled[t.number] = {t.sent, t.zone};
+      message_state.attempts = std::max(message_state.attempts, t.number + 1);
+      if (!t.not_executed) message_state.maybe_executed[t.number] = {t.sent, t.zone};
     }
-    if (a.pending_notice) known.owed = {a.pending_notice->returned, a.pending_notice->retry_after};
-    out.messages.emplace_back(a.message.id, std::move(known));
+    if (a.pending_notice) message_state.notice = {a.pending_notice->returned, a.pending_notice->retry_after};
+    out.messages.emplace_back(a.message.id, std::move(message_state));
   }
-  out.facts = seen.metadata;
+  out.metadata = seen.metadata;
   return out;
 }
 
-std::string show(const Model& model) {
+std::string describe(const Model& model) {
   std::string out;
-  for (const auto& [id, known] : model.messages) {
-    out += id + "(" + std::to_string(known.attempts) + "/" + std::to_string(known.unsettled.size()) +
-           (known.owed ? " owed" : "") + ") ";
+  for (const auto& [id, message_state] : model.messages) {
+    out += id + "(" + std::to_string(message_state.attempts) + "/" +
+           std::to_string(message_state.maybe_executed.size()) + (message_state.notice ? " owed" : "") + ") ";
   }
-  for (const auto& [name, value] : model.facts) out += name + "=" + value.substr(0, 8) + " ";
+  for (const auto& [name, value] : model.metadata) out += name + "=" + value.substr(0, 8) + " ";
   return out;
 }
 
-// A random history; `before` and `after` the change number at which each of its steps begins.
+// A step of a random history: the number of folder changes made before it, and the expected state before and
+// after it.
 struct Step {
   size_t first_change = 0;
   Model before, after;
@@ -104,57 +105,59 @@
   size_t disk = 0;
 };
 
-void play(History& h, uint64_t seed, int steps) {
+void run_random_steps(History& h, uint64_t seed, int steps) {
   std::mt19937_64 random(seed);
   const auto below = [&](uint64_t n) { return random() % n; };
   h.disk = 24'000 + below(4) * 8'000;
   auto journal = std::make_unique<Journal>(h.files, options(h.disk, seed));
   Model model;
-  int made = 0;
+  int next_id = 0;
   for (int i = 0; i < steps; ++i) {
     Step step{h.files.changes.size(), model, {}};
-    const uint64_t what = below(100);
-    Known* known = model.messages.empty() ? nullptr : &model.messages[below(model.messages.size())].second;
+    const uint64_t choice = below(100);
+    ModelMessage* message_state =
+        model.messages.empty() ? nullptr : &model.messages[below(model.messages.size())].second;
     std::string id;
     for (const auto& [name, k] : model.messages) {
-      if (&k == known) id = name;
+      if (&k == message_state) id = name;
     }
-    if (known == nullptr || what < 35) {
-      // Now and then an id that was over comes again.
+    if (message_state == nullptr || choice < 35) {
+      // Sometimes the id of a finished message is accepted again.
       const std::string fresh =
-          below(5) == 0 ? "m" + std::to_string(below(1 + made)) : "m" + std::to_string(made++);
-      const Submission handed = message(fresh, below(8) == 0 ? below(3000) : below(200));
-      const bool there = model.find(fresh) != nullptr;
-      if (journal->record_accepted(handed, 1000 + i)) {
-        EXPECT_FALSE(there);
-        model.messages.emplace_back(fresh, Known{1000 + i, handed.body, handed.tenant, {}, 0, {}});
+          below(5) == 0 ? "m" + std::to_string(below(1 + next_id)) : "m" + std::to_string(next_id++);
+      const Submission submission = message(fresh, below(8) == 0 ? below(3000) : below(200));
+      const bool already_live = model.find(fresh) != nullptr;
+      if (journal->record_accepted(submission, 1000 + i)) {
+        EXPECT_FALSE(already_live);
+        model.messages.emplace_back(fresh,
+                                    ModelMessage{1000 + i, submission.body, submission.tenant, {}, 0, {}});
       }
-    } else if (what < 50 && known->attempts < 6 && !known->owed) {
-      if (journal->record_attempt(id, known->attempts, 10 * i, i % 3)) {
-        known->unsettled[known->attempts] = {10 * i, i % 3};
-        ++known->attempts;
+    } else if (choice < 50 && message_state->attempts < 6 && !message_state->notice) {
+      if (journal->record_attempt(id, message_state->attempts, 10 * i, i % 3)) {
+        message_state->maybe_executed[message_state->attempts] = {10 * i, i % 3};
+        ++message_state->attempts;
       }
-    } else if (what < 58 && !known->unsettled.empty()) {
-      const int number = known->unsettled.rbegin()->first;
+    } else if (choice < 58 && !message_state->maybe_executed.empty()) {
+      const int number = message_state->maybe_executed.rbegin()->first;
       journal->record_not_executed(id, number);
-      known->unsettled.erase(number);
-    } else if (what < 64 && !known->owed) {
-      if (journal->record_notice({id, i % 2 == 0, i})) known->owed = {i % 2 == 0, i};
-    } else if (what < 84) {
+      message_state->maybe_executed.erase(number);
+    } else if (choice < 64 && !message_state->notice) {
+      if (journal->record_notice({id, i % 2 == 0, i})) message_state->notice = {i % 2 == 0, i};
+    } else if (choice < 84) {
       journal->record_done(id);
       std::erase_if(model.messages, [&](const auto& m) { return m.first == id; });
-    } else if (what < 92) {
+    } else if (choice < 92) {
       const std::string name = "fact" + std::to_string(below(5));
       const std::string value =
           below(4) == 0 ? "" : std::string(1 + below(300), static_cast<char>('a' + below(26)));
       if (journal->put_metadata(name, value)) {
         if (value.empty()) {
-          model.facts.erase(name);
+          model.metadata.erase(name);
         } else {
-          model.facts[name] = value;
+          model.metadata[name] = value;
         }
       }
-    } else if (what < 97) {
+    } else if (choice < 97) {
       journal->compact(200 + below(2000));
     } else {
       journal.reset();
@@ -165,27 +168,29 @@
   }
 }
 
-// Starts from what a kill left at each boundary between changes and, of each write, after the given prefixes.
-// Returns how many such points there were.
+// Recovers from the folder as a kill would leave it between any two changes, and after the given prefixes of
+// each write. Returns the number of such points.
 template <class Prefixes>
-size_t kill_everywhere(const History& h, Prefixes prefixes) {
+size_t recover_at_every_kill_point(const History& h, Prefixes prefixes) {
   Contents now;
   size_t points = 0;
   size_t step = 0;
   for (size_t i = 0; i <= h.files.changes.size(); ++i) {
     while (step + 1 < h.steps.size() && h.steps[step + 1].first_change <= i) ++step;
-    // Several steps may begin at one change; those without a change of their own say the same.
+    // Several steps may begin at one change number; those that change nothing on disk have the same expected
+    // state.
     size_t earliest = step;
     while (earliest > 0 && h.steps[earliest].first_change == i) --earliest;
     const auto check = [&](const Contents& contents, size_t prefix) {
       ++points;
       MemoryFiles files(contents);
-      const Model found = recovered(files, h.disk);
+      const Model found = recover_model(files, h.disk);
       for (size_t s = earliest; s <= step; ++s) {
         if (found == h.steps[s].before || found == h.steps[s].after) return true;
       }
-      ADD_FAILURE() << "change " << i << " prefix " << prefix << ": found " << show(found) << "\n  before "
-                    << show(h.steps[step].before) << "\n  after " << show(h.steps[step].after);
+      ADD_FAILURE() << "change " << i << " prefix " << prefix << ": found " << describe(found)
+                    << "\n  before " << describe(h.steps[step].before) << "\n  after "
+                    << describe(h.steps[step].after);
       return false;
     };
     if (!check(now, 0)) return points;
@@ -207,8 +212,8 @@
   size_t points = 0;
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     History h;
-    play(h, seed, 25);
-    points += kill_everywhere(h, [](size_t size) {
+    run_random_steps(h, seed, 25);
+    points += recover_at_every_kill_point(h, [](size_t size) {
       std::vector<size_t> all(size > 0 ? size - 1 : 0);
       for (size_t i = 0; i < all.size(); ++i) all[i] = i + 1;
       return all;
@@ -220,30 +225,32 @@
   EXPECT_GT(points, 10'000u);
 }
 
-// In shards, so that they share the cores. UMBERHOIST_HISTORIES: so many a shard, for a night.
+// Sharded, so that the shards run in parallel. UMBERHOIST_HISTORIES sets the number of histories per shard,
+// for long runs.
 class JournalHistories : public ::testing::TestWithParam<int> {};
 
 TEST_P(JournalHistories, AreRightAfterAKillAtEachBoundaryAndWithinEachWrite) {
-  const char* wanted = std::getenv("UMBERHOIST_HISTORIES");
-  const int histories = wanted == nullptr ? 1250 : std::atoi(wanted);
+  const char* history_count_text = std::getenv("UMBERHOIST_HISTORIES");
+  const int history_count = history_count_text == nullptr ? 1250 : std::atoi(history_count_text);
   size_t points = 0, copied = 0;
-  for (int i = 0; i < histories; ++i) {
+  for (int i = 0; i < history_count; ++i) {
     const uint64_t seed = static_cast<uint64_t>(GetParam()) * 1'000'000 + static_cast<uint64_t>(i) + 100;
     History h;
-    // One in five is long enough for the disk to be gone round several times; it is looked at less closely.
+    // One history in five is long enough for compaction to rewrite the whole disk several times; only its
+    // final state is checked.
     const bool long_one = i % 5 == 0;
-    play(h, seed, long_one ? 400 : 30);
+    run_random_steps(h, seed, long_one ? 400 : 30);
     EXPECT_LE(h.files.max_used_bytes, h.disk) << "seed " << seed;
     std::mt19937_64 random(seed);
     if (long_one) {
       MemoryFiles files(h.files.contents());
-      const Model found = recovered(files, h.disk);
-      EXPECT_EQ(found, h.steps.back().after) << "seed " << seed << ": " << show(found);
-      const Model second = inspected(files);
-      EXPECT_EQ(second, found) << "seed " << seed << ": the second reader sees " << show(second);
+      const Model found = recover_model(files, h.disk);
+      EXPECT_EQ(found, h.steps.back().after) << "seed " << seed << ": " << describe(found);
+      const Model second = inspect_model(files);
+      EXPECT_EQ(second, found) << "seed " << seed << ": the second reader sees " << describe(second);
       copied += h.files.changes.size();
     } else {
-      points += kill_everywhere(h, [&](size_t size) {
+      points += recover_at_every_kill_point(h, [&](size_t size) {
         return size < 2 ? std::vector<size_t>{} : std::vector<size_t>{1 + random() % (size - 1)};
       });
     }
@@ -270,12 +277,12 @@
     Contents bad = good;
     bad[name][at] = static_cast<char>(bad[name][at] ^ (1 << (at % 8)));
     MemoryFiles damaged(bad);
-    RecoveryReport findings;
-    const Model found = recovered(damaged, 100'000, &findings);
+    RecoveryReport report;
+    const Model found = recover_model(damaged, 100'000, &report);
     const bool header = at < kHeaderBytes;
     ASSERT_EQ(found.messages.size(), header ? 12u : 11u) << at;
     if (!header) {
-      ASSERT_GT(findings.damaged_bytes + findings.torn_bytes, 0u) << at;
+      ASSERT_GT(report.damaged_bytes + report.torn_bytes, 0u) << at;
     }
   }
 }
@@ -287,18 +294,18 @@
     for (int i = 0; i < 100; ++i) ASSERT_TRUE(journal.record_accepted(message("m" + std::to_string(i)), i));
   }
   Contents bad = files.contents();
-  bad.begin()->second[kHeaderBytes + 4 + 2] ^= 0x40;  // the first record says that it is 4 MB long
+  bad.begin()->second[kHeaderBytes + 4 + 2] ^= 0x40;  // the first record now has a length of 4 MB
   MemoryFiles damaged(bad);
-  RecoveryReport findings;
-  EXPECT_EQ(recovered(damaged, 100'000, &findings).messages.size(), 99u);
-  EXPECT_EQ(findings.damaged_ranges, 1u);
-  ASSERT_EQ(findings.log_lines.size(), 1u);
-  EXPECT_NE(findings.log_lines[0].find("bytes at 128 cannot be read"), std::string::npos)
-      << findings.log_lines[0];
+  RecoveryReport report;
+  EXPECT_EQ(recover_model(damaged, 100'000, &report).messages.size(), 99u);
+  EXPECT_EQ(report.damaged_ranges, 1u);
+  ASSERT_EQ(report.log_lines.size(), 1u);
+  EXPECT_NE(report.log_lines[0].find("bytes at 128 cannot be read"), std::string::npos)
+      << report.log_lines[0];
 }
 
-// A client may hand in a body that looks like a record. Where the record round it is damaged, it must not
-// count.
+// A client may submit a body that looks like a record. If the record around it is damaged, the reader must
+// not take the body for a record.
 TEST(Journal, ABodyThatLooksLikeARecordIsNone) {
   MemoryFiles files;
   AcceptedMessage forged;
@@ -317,7 +324,7 @@
   std::string& bytes = bad.begin()->second;
   bytes[bytes.find("key-evil")] ^= 1;
   MemoryFiles damaged(bad);
-  const Model found = recovered(damaged, 100'000);
+  const Model found = recover_model(damaged, 100'000);
   ASSERT_EQ(found.messages.size(), 2u);
   EXPECT_EQ(found.messages[0].first, "first");
   EXPECT_EQ(found.messages[1].first, "last");
@@ -333,9 +340,9 @@
   Contents bad = files.contents();
   bad.begin()->second[kHeaderBytes + 30] ^= 1;
   MemoryFiles damaged(bad);
-  RecoveryReport findings;
-  EXPECT_TRUE(recovered(damaged, 100'000, &findings).messages.empty());
-  EXPECT_EQ(findings.orphans, 1u);
+  RecoveryReport report;
+  EXPECT_TRUE(recover_model(damaged, 100'000, &report).messages.empty());
+  EXPECT_EQ(report.orphans, 1u);
 }
 
 TEST(Journal, ASegmentTruncatedToZeroSwappedDuplicatedOrAnothersIsSetAside) {
@@ -352,7 +359,7 @@
     Contents rest = good;
     rest.erase(first);
     MemoryFiles without(rest);
-    return 60 - recovered(without, 400'000).messages.size();
+    return 60 - recover_model(without, 400'000).messages.size();
   }();
   struct Case {
     const char* what;
@@ -365,12 +372,12 @@
   twice["journal-0000000099"] = good.at(first);
   std::swap(swapped[first], swapped[second]);
   {
-    MemoryFiles strange;
+    MemoryFiles other_relay_files;
     JournalOptions other = options(400'000);
     other.owner = "n7";
-    Journal journal(strange, other);
+    Journal journal(other_relay_files, other);
     ASSERT_TRUE(journal.record_accepted(message("alien"), 1));
-    others["journal-0000000098"] = strange.contents().begin()->second;
+    others["journal-0000000098"] = other_relay_files.contents().begin()->second;
     SegmentHeader header = *decode_header(others["journal-0000000098"]);
     header.segment_number = 98;
     others["journal-0000000098"].replace(0, kHeaderBytes, encode(header));
@@ -380,14 +387,14 @@
                         Case{"swapped", swapped, 60 - 2 * in_first, "under another name"},
                         Case{"another's", others, 60, "it belongs to relay n7"}}) {
     MemoryFiles folder(c.contents);
-    RecoveryReport findings;
-    EXPECT_EQ(recovered(folder, 400'000, &findings).messages.size(), c.left) << c.what;
-    ASSERT_FALSE(findings.log_lines.empty()) << c.what;
-    EXPECT_NE(findings.log_lines[0].find(c.line), std::string::npos) << findings.log_lines[0];
-    // It is there still, under another name, and the next start finds nothing strange.
+    RecoveryReport report;
+    EXPECT_EQ(recover_model(folder, 400'000, &report).messages.size(), c.left) << c.what;
+    ASSERT_FALSE(report.log_lines.empty()) << c.what;
+    EXPECT_NE(report.log_lines[0].find(c.line), std::string::npos) << report.log_lines[0];
+    // The segment is kept under another name, and the next start reports nothing.
     EXPECT_EQ(folder.contents().size(), c.contents.size());
     RecoveryReport again;
-    recovered(folder, 400'000, &again);
+    recover_model(folder, 400'000, &again);
     EXPECT_TRUE(again.log_lines.empty()) << c.what;
   }
 }
@@ -409,9 +416,9 @@
   EXPECT_TRUE(files.changes.empty());
 }
 
-// A folder with all that a start may have to change: damage to be kept, a segment to be set aside, one that
-// was only begun, and a torn tail.
-Contents messy_folder(size_t disk) {
+// A folder with everything that makes a start change it: damaged bytes to save, a segment to set aside, a
+// segment with an incomplete header, and a torn tail.
+Contents folder_with_damage(size_t disk) {
   MemoryFiles files;
   {
     Journal journal(files, options(disk));
@@ -435,14 +442,14 @@
 
 TEST(Journal, AKillDuringRecoveryTwiceInARowChangesNothingOfWhatIsFound) {
   constexpr size_t kDisk = 200'000;
-  const Contents folder = messy_folder(kDisk);
+  const Contents folder = folder_with_damage(kDisk);
   MemoryFiles undisturbed(folder);
-  RecoveryReport findings;
-  const Model expected = recovered(undisturbed, kDisk, &findings);
-  ASSERT_EQ(findings.damaged_ranges, 1u);
+  RecoveryReport report;
+  const Model expected = recover_model(undisturbed, kDisk, &report);
+  ASSERT_EQ(report.damaged_ranges, 1u);
   ASSERT_GE(undisturbed.changes.size(), 4u) << "a start that changes nothing tests nothing";
-  // All folders that a kill may leave: after each change, and within each write.
-  const auto kills = [](const Contents& from, const MemoryFiles& played) {
+  // All folders that a kill may leave: after each change, and after prefixes of each write.
+  const auto folders_after_kills = [](const Contents& from, const MemoryFiles& played) {
     std::vector<Contents> out{from};
     Contents now = from;
     for (const auto& change : played.changes) {
@@ -458,13 +465,13 @@
     return out;
   };
   size_t points = 0;
-  for (const Contents& once : kills(folder, undisturbed)) {
+  for (const Contents& once : folders_after_kills(folder, undisturbed)) {
     MemoryFiles second(once);
-    ASSERT_EQ(recovered(second, kDisk), expected);
-    for (const Contents& twice : kills(once, second)) {
+    ASSERT_EQ(recover_model(second, kDisk), expected);
+    for (const Contents& twice : folders_after_kills(once, second)) {
       MemoryFiles third(twice);
-      const Model found = recovered(third, kDisk);
-      ASSERT_EQ(found, expected) << show(found) << "\n expected " << show(expected);
+      const Model found = recover_model(third, kDisk);
+      ASSERT_EQ(found, expected) << describe(found) << "\n expected " << describe(expected);
       EXPECT_LE(third.max_used_bytes, kDisk);
       ++points;
     }
@@ -472,47 +479,51 @@
   EXPECT_GT(points, 80u);
 }
 
-// Both segments stand there: each message comes back once, and an end in the newer one wins. The same if the
-// old segment comes back later, until the next one goes.
+// Guards against duplicates and resurrected messages: after a kill between a copy and the removal of the old
+// segment, both segments exist. Each message must be recovered once, and a done record in the newer segment
+// must take precedence. The same holds if the removal is lost and the old segment reappears later, up to the
+// removal of the next one.
 TEST(Journal, AKillBetweenACopyAndTheRemovalOfItsSegmentBringsEachMessageBackOnce) {
   constexpr size_t kDisk = 40'000;
   MemoryFiles files;
   std::vector<std::pair<size_t, std::set<std::string>>>
-      claimed;  // changes made so far, and what was alive then
-  std::set<std::string> alive;
+      expected_live;  // number of changes made, and the live messages then
+  std::set<std::string> live_ids;
   Journal journal(files, options(kDisk));
-  const auto note = [&] { claimed.emplace_back(files.changes.size(), alive); };
+  const auto save_expected = [&] { expected_live.emplace_back(files.changes.size(), live_ids); };
   std::mt19937_64 random(7);
-  note();
+  save_expected();
   for (int i = 0; i < 600; ++i) {
-    if (alive.size() >= 20) {
-      const auto some = std::next(alive.begin(), static_cast<std::ptrdiff_t>(random() % alive.size()));
+    if (live_ids.size() >= 20) {
+      const auto some = std::next(live_ids.begin(), static_cast<std::ptrdiff_t>(random() % live_ids.size()));
       journal.record_done(*some);
-      alive.erase(some);
-      note();
+      live_ids.erase(some);
+      save_expected();
     }
     const std::string id = "m" + std::to_string(i);
-    if (journal.record_accepted(message(id, 400), i)) alive.insert(id);
-    note();
+    if (journal.record_accepted(message(id, 400), i)) live_ids.insert(id);
+    save_expected();
     journal.compact(2000);
-    note();
+    save_expected();
   }
   ASSERT_GT(journal.copied_bytes(), 10'000u);
   const auto found = [&](const Contents& contents) {
     MemoryFiles left(contents);
     std::set<std::string> out;
-    for (const auto& [id, known] : recovered(left, kDisk).messages) EXPECT_TRUE(out.insert(id).second) << id;
+    for (const auto& [id, message_state] : recover_model(left, kDisk).messages)
+      EXPECT_TRUE(out.insert(id).second) << id;
     return out;
   };
   Contents now;
   std::string old_name, old_bytes;
-  size_t at = 0, removals = 0, risen = 0;
-  for (size_t c = 0; c < claimed.size(); ++c) {
-    for (; at < claimed[c].first; ++at) {
+  size_t at = 0, removals = 0, reappearances = 0;
+  for (size_t c = 0; c < expected_live.size(); ++c) {
+    for (; at < expected_live[c].first; ++at) {
       const auto& change = files.changes[at];
       if (change.type == MemoryFiles::Change::Type::kRemove) {
         const std::set<std::string> seen = found(now);
-        ASSERT_TRUE(seen == claimed[c].second || seen == claimed[c - 1].second) << "change " << at;
+        ASSERT_TRUE(seen == expected_live[c].second || seen == expected_live[c - 1].second)
+            << "change " << at;
         old_name = change.name;
         old_bytes = now.at(change.name);
         ++removals;
@@ -522,25 +533,25 @@
     if (old_name.empty()) continue;
     Contents both = now;
     both[old_name] = old_bytes;
-    ASSERT_EQ(found(both), claimed[c].second) << "after " << at << " changes, with " << old_name;
-    ++risen;
+    ASSERT_EQ(found(both), expected_live[c].second) << "after " << at << " changes, with " << old_name;
+    ++reappearances;
   }
   EXPECT_GT(removals, 20u);
-  EXPECT_GT(risen, 500u);
+  EXPECT_GT(reappearances, 500u);
 }
 
 // ---- Failing disks ----
 
-// The n-th change fails, for every n, in each way; then the disk is well again.
+// The n-th change fails, for every n and each kind of failure; then the disk works again.
 TEST(Journal, NothingIsClaimedThatIsNotOnDiskWhicheverOperationFails) {
-  for (const bool partly : {false, true}) {
-    for (const bool uncut : {false, true}) {
+  for (const bool partial_write : {false, true}) {
+    for (const bool truncate_fails : {false, true}) {
       for (int64_t at = 0; at < 220; ++at) {
         MemoryFiles files;
         files.fail_from = at;
         files.fail_until = at + 1 + at % 3;
-        files.fail_after_partial_write = partly;
-        files.fail_truncate = uncut;
+        files.fail_after_partial_write = partial_write;
+        files.fail_truncate = truncate_fails;
         constexpr size_t kDisk = 30'000;
         Model model;
         {
@@ -548,10 +559,10 @@
           for (int i = 0; i < 150; ++i) {
             const std::string id = "m" + std::to_string(i);
             if (!journal.record_accepted(message(id, 300), i)) continue;
-            model.messages.emplace_back(id,
-                                        Known{i, message(id, 300).body, message(id, 300).tenant, {}, 0, {}});
+            model.messages.emplace_back(
+                id, ModelMessage{i, message(id, 300).body, message(id, 300).tenant, {}, 0, {}});
             if (journal.record_attempt(id, 0, i, 0)) {
-              model.messages.back().second.unsettled[0] = {i, 0};
+              model.messages.back().second.maybe_executed[0] = {i, 0};
               model.messages.back().second.attempts = 1;
             }
             if (i % 16 == 3) continue;
@@ -559,55 +570,58 @@
             model.messages.pop_back();
           }
           files.fail_from = INT64_MAX;
-          journal.compact(1);  // what could not be written is written now
+          journal.compact(1);  // writes the backlog
         }
         EXPECT_LE(files.max_used_bytes, kDisk);
         MemoryFiles left(files.contents());
-        RecoveryReport findings;
-        const Model found = recovered(left, kDisk, &findings);
-        if (!uncut) {
-          EXPECT_EQ(findings.damaged_ranges + findings.torn_bytes, 0u) << "a failed write was not cut off";
+        RecoveryReport report;
+        const Model found = recover_model(left, kDisk, &report);
+        if (!truncate_fails) {
+          EXPECT_EQ(report.damaged_ranges + report.torn_bytes, 0u) << "a failed write was not cut off";
         }
-        // An attempt that could not be recorded, nor cut off, may be there: that errs to the safe side.
-        Model plain = model, seen = found;
-        if (uncut) {
-          for (Model* m : {&plain, &seen}) {
-            for (auto& [id, known] : m->messages) known.unsettled.clear(), known.attempts = 0;
+        // An attempt whose write failed and could not be undone may be recovered; that errs on the safe side.
+        Model expected = model, seen = found;
+        if (truncate_fails) {
+          for (Model* m : {&expected, &seen}) {
+            for (auto& [id, message_state] : m->messages)
+              message_state.maybe_executed.clear(), message_state.attempts = 0;
           }
         }
-        ASSERT_EQ(seen, plain) << "operation " << at << " partly " << partly << " uncut " << uncut
-                               << "\n found " << show(found) << "\n claimed " << show(model);
+        ASSERT_EQ(seen, expected) << "operation " << at << " partly " << partial_write << " uncut "
+                                  << truncate_fails << "\n found " << describe(found) << "\n claimed "
+                                  << describe(model);
       }
     }
   }
 }
 
-// All of a record is on the disk and the write says that it failed, and it cannot be cut off: the client was
-// told to come again, so a start must not resume it beside that.
+// A write stores the whole record, reports an error and cannot be undone. The client got a refusal and will
+// submit the message again, so a restart must not resume the first submission.
 TEST(Journal, ARefusedMessageThatStandsOnDiskAllTheSameIsEnded) {
   for (int64_t at = 0; at < 40; ++at) {
     MemoryFiles files;
     files.fail_from = at;
     files.fail_until = at + 1;
     files.fail_after_full_write = files.fail_truncate = true;
-    std::set<std::string> taken, refused;
+    std::set<std::string> accepted, refused;
     {
       Journal journal(files, options(30'000));
       for (int i = 0; i < 30; ++i) {
         const std::string id = "m" + std::to_string(i);
-        (journal.record_accepted(message(id, 100), i) ? taken : refused).insert(id);
+        (journal.record_accepted(message(id, 100), i) ? accepted : refused).insert(id);
       }
       journal.compact(1);
     }
     MemoryFiles left(files.contents());
-    const Model found = recovered(left, 30'000);
-    EXPECT_EQ(found.messages.size(), taken.size()) << at << ": " << show(found);
-    for (const auto& [id, known] : found.messages) EXPECT_FALSE(refused.contains(id)) << at << " " << id;
+    const Model found = recover_model(left, 30'000);
+    EXPECT_EQ(found.messages.size(), accepted.size()) << at << ": " << describe(found);
+    for (const auto& [id, message_state] : found.messages)
+      EXPECT_FALSE(refused.contains(id)) << at << " " << id;
   }
 }
 
-// What is copied forward is read by its place: after a write that failed half-way the places must still be
-// right, or the oldest segments could never go.
+// Compaction reads records by their offset. After a partial write the offsets must still be right, otherwise
+// the oldest segments could never be removed.
 TEST(Journal, AfterAFailedWriteTheDiskIsStillGoneRound) {
   for (int64_t at = 1; at < 30; ++at) {
     MemoryFiles files;
@@ -616,7 +630,7 @@
     files.fail_after_partial_write = true;
     Journal journal(files, options(40'000));
     for (int i = 0; i < 10; ++i) journal.record_accepted(message("kept" + std::to_string(i), 100), i);
-    int refused = 0;  // the one that met the failure
+    int refused = 0;  // the one whose write failed
     for (int i = 0; i < 500; ++i) {
       const std::string id = "m" + std::to_string(i);
       refused += !journal.record_accepted(message(id, 1000), i);
@@ -631,30 +645,30 @@
   MemoryFiles files;
   Journal journal(files, options(kDisk));
   for (int round = 0; round < 5; ++round) {
-    std::vector<std::string> taken;
+    std::vector<std::string> accepted;
     for (int i = 0; i < 1000; ++i) {
       const std::string id = std::to_string(round) + "-" + std::to_string(i);
       if (!journal.record_accepted(message(id, 500), i)) break;
-      taken.push_back(id);
+      accepted.push_back(id);
     }
-    EXPECT_LT(taken.size(), 1000u);
-    EXPECT_GT(taken.size(), 50u);
-    // Whatever was accepted can have all its attempts, its notice and its end.
+    EXPECT_LT(accepted.size(), 1000u);
+    EXPECT_GT(accepted.size(), 50u);
+    // Every accepted message has room for all its attempts, its notice and its done record.
     for (int number = 0; number < 6; ++number) {
-      for (const std::string& id : taken) {
+      for (const std::string& id : accepted) {
         ASSERT_TRUE(journal.record_attempt(id, number, 1, 0));
         if (number % 2 == 0) journal.record_not_executed(id, number);
       }
     }
-    for (const std::string& id : taken) ASSERT_TRUE(journal.record_notice({id, true, 500}));
-    for (const std::string& id : taken) journal.record_done(id);
+    for (const std::string& id : accepted) ASSERT_TRUE(journal.record_notice({id, true, 500}));
+    for (const std::string& id : accepted) journal.record_done(id);
     EXPECT_EQ(journal.live_messages(), 0u);
   }
   EXPECT_LE(files.max_used_bytes, kDisk);
 }
 
-// Whatever else is on the disk may take its room at any moment of a compaction: from each change on nothing
-// can be added, then there is room again.
+// Other data may fill the disk at any moment of a compaction: after the n-th change no block can be
+// allocated, for every n; later there is space again.
 TEST(Journal, ADiskThatFillsDuringCompactionLosesNothingAndTakesUpAgain) {
   constexpr size_t kDisk = 60'000;
   size_t compactions = 0;
@@ -665,34 +679,35 @@
     const auto add = [&](int i) {
       const std::string id = "m" + std::to_string(i);
       if (!journal.record_accepted(message(id, 400), i)) return false;
-      model.messages.emplace_back(id, Known{i, message(id, 400).body, message(id, 400).tenant, {}, 0, {}});
+      model.messages.emplace_back(id,
+                                  ModelMessage{i, message(id, 400).body, message(id, 400).tenant, {}, 0, {}});
       return true;
     };
     const auto end = [&](size_t at) {
       journal.record_done(model.messages[at].first);
       model.messages.erase(model.messages.begin() + static_cast<std::ptrdiff_t>(at));
     };
-    int made = 0;
-    while (add(made)) ++made;
-    // One that ends, one that comes, until what is alive is being copied round: in slices between turns, or
-    // all at once for want of room.
+    int next_id = 0;
+    while (add(next_id)) ++next_id;
+    // One message ends and one is accepted in each step, until live records are being copied: in slices
+    // between the steps, or all at once when an append needs room.
     const bool slices = full_at % 2 == 0;
-    const auto turn = [&](int number) {
+    const auto step = [&](int number) {
       if (!model.messages.empty()) end(static_cast<size_t>(number * 7) % model.messages.size());
-      const bool taken = add(made++);
+      const bool accepted = add(next_id++);
       if (slices) journal.compact(1000);
-      return taken;
+      return accepted;
     };
-    for (int i = 0; journal.copied_bytes() == 0; ++i) ASSERT_TRUE(turn(i));
+    for (int i = 0; journal.copied_bytes() == 0; ++i) ASSERT_TRUE(step(i));
     const size_t copied = journal.copied_bytes(), before = files.changes.size();
     files.disk_full_from = before + static_cast<size_t>(full_at);
     int refused = 0;
     for (int i = 0; i < 100; ++i) {
-      refused += !turn(i);
-      if (i % 10 == 9) {  // what a kill would leave just now: all that was claimed
+      refused += !step(i);
+      if (i % 10 == 9) {  // a kill at this point loses nothing that was acknowledged
         MemoryFiles left(files.contents());
-        Model found = recovered(left, kDisk);
-        // An end that found no room is written later: its message is settled again after a kill.
+        Model found = recover_model(left, kDisk);
+        // A done record without room is written later; after a kill before that its message is recovered.
         std::erase_if(found.messages, [&](const auto& m) { return model.find(m.first) == nullptr; });
         ASSERT_EQ(found.messages, model.messages) << "full at change " << full_at;
       }
@@ -700,42 +715,43 @@
     EXPECT_GT(refused, 0);
     files.disk_full_from = SIZE_MAX;
     journal.compact(1);
-    int taken = 0;
+    int accepted = 0;
     for (int i = 0; i < 200; ++i) {
-      taken += add(made++);
+      accepted += add(next_id++);
       if (model.messages.size() > 40) end(0);
     }
-    EXPECT_GT(taken, 190) << "full at change " << full_at;
+    EXPECT_GT(accepted, 190) << "full at change " << full_at;
     EXPECT_LE(files.max_used_bytes, kDisk);
     compactions += journal.copied_bytes() > copied;
     MemoryFiles left(files.contents());
-    const Model found = recovered(left, kDisk);
-    ASSERT_EQ(found, model) << show(found) << "\n claimed " << show(model);
+    const Model found = recover_model(left, kDisk);
+    ASSERT_EQ(found, model) << describe(found) << "\n claimed " << describe(model);
   }
   EXPECT_GT(compactions, 60u);
 }
 
-// Bodies of any size, ends in any order, the disk full all the while: what was accepted has room for all that
-// may follow, and the limit holds at each instant.
+// Random body sizes and random order of ends on a disk that is always full: every accepted message must have
+// room for all its later records, and the disk limit must hold at all times.
 TEST(Journal, WhateverWasAcceptedHasRoomForAllThatFollowsWhateverTheSizes) {
-  size_t taken = 0, refused = 0;
+  size_t accepted = 0, refused = 0;
   for (uint64_t seed = 0; seed < 60; ++seed) {
     std::mt19937_64 random(seed);
     const size_t disk = 24'000 + 8'000 * (seed % 5);
-    const size_t longest = seed % 3 == 0 ? 20 : 4000;
+    const size_t max_body = seed % 3 == 0 ? 20 : 4000;
     MemoryFiles files;
     Journal journal(files, options(disk, seed + 1));
-    std::map<std::string, int> alive;  // and how many attempts each had
+    std::map<std::string, int> live_ids;  // with the number of their attempts
     for (int i = 0; i < 600; ++i) {
       const std::string id = "m" + std::to_string(i);
-      if (journal.record_accepted(message(id, random() % longest), i)) {
-        alive[id] = 0;
-        ++taken;
+      if (journal.record_accepted(message(id, random() % max_body), i)) {
+        live_ids[id] = 0;
+        ++accepted;
         continue;
       }
       ++refused;
-      for (int k = 0; k < 4 && !alive.empty(); ++k) {
-        const auto some = std::next(alive.begin(), static_cast<std::ptrdiff_t>(random() % alive.size()));
+      for (int k = 0; k < 4 && !live_ids.empty(); ++k) {
+        const auto some =
+            std::next(live_ids.begin(), static_cast<std::ptrdiff_t>(random() % live_ids.size()));
         const auto& [name, attempts] = *some;
         if (attempts < 6 && random() % 3 != 0) {
           ASSERT_TRUE(journal.record_attempt(name, attempts, 1, 0)) << "seed " << seed << " step " << i;
@@ -748,22 +764,22 @@
         }
         journal.record_done(name);
         ASSERT_TRUE(journal.has_no_backlog()) << "seed " << seed << " step " << i;
-        alive.erase(some);
+        live_ids.erase(some);
       }
       if (random() % 2 == 0) journal.compact(random() % 3000);
     }
-    for (int i = 600; journal.record_accepted(message("m" + std::to_string(i), random() % longest), i); ++i)
-      alive["m" + std::to_string(i)] = 0;
-    for (auto& [name, attempts] : alive) {
+    for (int i = 600; journal.record_accepted(message("m" + std::to_string(i), random() % max_body), i); ++i)
+      live_ids["m" + std::to_string(i)] = 0;
+    for (auto& [name, attempts] : live_ids) {
       for (; attempts < 6; ++attempts)
         ASSERT_TRUE(journal.record_attempt(name, attempts, 1, 0)) << "seed " << seed;
       ASSERT_TRUE(journal.record_notice({name, true, 5})) << "seed " << seed;
     }
-    for (const auto& [name, attempts] : alive) journal.record_done(name);
+    for (const auto& [name, attempts] : live_ids) journal.record_done(name);
     ASSERT_TRUE(journal.has_no_backlog()) << "seed " << seed;
     ASSERT_LE(files.max_used_bytes, disk) << "seed " << seed;
   }
-  EXPECT_GT(taken, 2000u);
+  EXPECT_GT(accepted, 2000u);
   EXPECT_GT(refused, 2000u);
 }
 
@@ -782,20 +798,21 @@
 
 TEST(Journal, FactsDoNotCrowdMessagesOut) {
   constexpr size_t kDisk = 100'000;
-  const auto taken_beside = [&](int facts) {
+  const auto accepted_with_metadata = [&](int metadata) {
     MemoryFiles files;
     Journal journal(files, options(kDisk));
-    int kept = 0, taken = 0;
-    for (int i = 0; i < facts; ++i) {
+    int kept = 0, accepted = 0;
+    for (int i = 0; i < metadata; ++i) {
       kept += journal.put_metadata("gone s-" + std::to_string(i), std::string(30, 'x'));
     }
-    EXPECT_TRUE(facts == 0 || kept > 300);
-    while (taken < 1000 && journal.record_accepted(message("m" + std::to_string(taken), 500), 1)) ++taken;
-    return taken;
+    EXPECT_TRUE(metadata == 0 || kept > 300);
+    while (accepted < 1000 && journal.record_accepted(message("m" + std::to_string(accepted), 500), 1))
+      ++accepted;
+    return accepted;
   };
-  const int alone = taken_beside(0);
+  const int alone = accepted_with_metadata(0);
   EXPECT_GT(alone, 80);
-  EXPECT_GT(taken_beside(5000), alone * 6 / 10);
+  EXPECT_GT(accepted_with_metadata(5000), alone * 6 / 10);
 }
 
 TEST(Journal, FactsTakeNoMoreThanTheirPart) {
@@ -821,19 +838,19 @@
   Contents bad = files.contents();
   const std::string name = bad.begin()->first;
   bad.begin()->second[kHeaderBytes + 100] ^= 1;
-  const std::string aside = "aside-" + name + "-128";
+  const std::string saved_name = "aside-" + name + "-128";
   MemoryFiles damaged(bad);
-  for (int start = 0; start < 2; ++start) {  // the second one finds it there
-    RecoveryReport findings;
-    EXPECT_EQ(recovered(damaged, 100'000, &findings).messages.size(), 19u);
-    ASSERT_EQ(findings.log_lines.size(), 1u);
-    EXPECT_TRUE(findings.log_lines[0].ends_with("they are kept as " + aside)) << findings.log_lines[0];
-    EXPECT_EQ(damaged.contents().at(aside), bad.at(name).substr(128, findings.damaged_bytes));
+  for (int start = 0; start < 2; ++start) {  // the second start finds the file already there
+    RecoveryReport report;
+    EXPECT_EQ(recover_model(damaged, 100'000, &report).messages.size(), 19u);
+    ASSERT_EQ(report.log_lines.size(), 1u);
+    EXPECT_TRUE(report.log_lines[0].ends_with("they are kept as " + saved_name)) << report.log_lines[0];
+    EXPECT_EQ(damaged.contents().at(saved_name), bad.at(name).substr(128, report.damaged_bytes));
     EXPECT_EQ(damaged.contents().size(), bad.size() + 1);
   }
-  // A disk that has no room to spare is not filled with it.
+  // Without spare room the damaged bytes are not saved.
   MemoryFiles small(bad);
-  EXPECT_EQ(recovered(small, 12'000).messages.size(), 19u);
+  EXPECT_EQ(recover_model(small, 12'000).messages.size(), 19u);
   EXPECT_EQ(small.contents().size(), bad.size());
 }
 
@@ -847,15 +864,15 @@
     ASSERT_TRUE(journal.record_accepted(message("a"), 2));
     EXPECT_FALSE(journal.record_accepted(message("a"), 3)) << "it is alive";
   }
-  const Model found = recovered(files, 100'000);
+  const Model found = recover_model(files, 100'000);
   ASSERT_EQ(found.messages.size(), 1u);
   EXPECT_EQ(found.messages[0].second.due, 2);
-  EXPECT_TRUE(found.messages[0].second.unsettled.empty());
+  EXPECT_TRUE(found.messages[0].second.maybe_executed.empty());
 }
 
 // ---- Earlier versions ----
 
-// Version 2 knew no tenants; else its records are the same, so its segments are read as they are.
+// Format version 2 had no tenants and is otherwise the same, so its segments can be read.
 TEST(Journal, SegmentsOfVersionTwoAreReadAndCopiedForward) {
   SegmentHeader header;
   header.version = 2;
@@ -870,13 +887,13 @@
   MemoryFiles files(
       Contents{{"journal-0000000001", encode(header) + frame_record(5, RecordKind::kAccepted, encode(a))}});
   for (int start = 0; start < 2; ++start) {
-    const Model found = recovered(files, 100'000);
+    const Model found = recover_model(files, 100'000);
     ASSERT_EQ(found.messages.size(), 1u);
     EXPECT_EQ(found.messages[0].second.due, 77);
     EXPECT_EQ(found.messages[0].second.body, a.message.body);
     EXPECT_EQ(found.messages[0].second.tenant, "");
     Journal journal(files, options(100'000));
-    for (int i = 0; i < 200; ++i) {  // until the old segment has been copied forward
+    for (int i = 0; i < 200; ++i) {  // until the old segment is compacted
       const std::string id = "x" + std::to_string(start * 1000 + i);
       ASSERT_TRUE(journal.record_accepted(message(id, 2000), 1));
       journal.record_done(id);
@@ -888,7 +905,7 @@
 
 std::string legacy_record(const std::string& payload) {
   std::string out;
-  // CRC-32 of the payload, bit by bit: the reader must not be judged by its own code.
+  // CRC-32 of the payload, computed independently of the reader's code.
   uint32_t crc = 0xFFFFFFFF;
   for (const char c : payload) {
     crc ^= static_cast<uint8_t>(c);
@@ -910,17 +927,17 @@
 
 TEST(Journal, AnOldFolderIsCarriedOverAlsoIfKilledAtAnyByteTwiceInARow) {
   const std::string a = legacy_accepted("a"), b = legacy_accepted("b");
-  const std::string whole =
+  const std::string contents =
       a + b + legacy_accepted("c") + legacy_record("T" + text8("a") + number8(0) + number8(55) + number8(1)) +
       legacy_record("O" + text8("b") + number8(1) + number8(500)) + legacy_record("D" + text8("c")) +
       legacy_record("F" + text8("revision") + text8("41")) + "torn";
-  Contents now{{"journal", whole}};
+  Contents now{{"journal", contents}};
   MemoryFiles files(now);
-  const Model expected = recovered(files, 100'000);
+  const Model expected = recover_model(files, 100'000);
   ASSERT_EQ(expected.messages.size(), 2u);
-  EXPECT_EQ(expected.messages[0].second.unsettled.at(0), (std::pair<Micros, int>{55, 1}));
-  EXPECT_EQ(expected.messages[1].second.owed, (std::pair<bool, Micros>{true, 500}));
-  EXPECT_EQ(expected.facts.at("revision"), "41");
+  EXPECT_EQ(expected.messages[0].second.maybe_executed.at(0), (std::pair<Micros, int>{55, 1}));
+  EXPECT_EQ(expected.messages[1].second.notice, (std::pair<bool, Micros>{true, 500}));
+  EXPECT_EQ(expected.metadata.at("revision"), "41");
   EXPECT_FALSE(files.contents().contains("journal"));
   for (const auto& change : files.changes) {
     for (size_t prefix = 0; prefix <= change.bytes.size(); ++prefix) {
@@ -928,26 +945,26 @@
       Contents cut = now;
       if (change.type == MemoryFiles::Change::Type::kAppend) MemoryFiles::apply(cut, change, prefix);
       MemoryFiles once(cut);
-      ASSERT_EQ(recovered(once, 100'000), expected);
-      Contents again = cut;  // killed in that second carrying over too
+      ASSERT_EQ(recover_model(once, 100'000), expected);
+      Contents again = cut;  // the second migration is killed as well
       for (const auto& second : once.changes) {
         MemoryFiles::apply(again, second, second.bytes.size() / 2);
         if (second.type == MemoryFiles::Change::Type::kAppend) break;
       }
       MemoryFiles twice(again);
-      ASSERT_EQ(recovered(twice, 100'000), expected);
+      ASSERT_EQ(recover_model(twice, 100'000), expected);
     }
     MemoryFiles::apply(now, change, change.bytes.size());
   }
-  // One flipped byte in its first record costs that record.
-  std::string bad = whole;
+  // A flipped bit in the first record loses that record only.
+  std::string bad = contents;
   bad[20] ^= 1;
   MemoryFiles damaged(Contents{{"journal", bad}});
-  EXPECT_EQ(recovered(damaged, 100'000).messages.size(), 1u);
+  EXPECT_EQ(recover_model(damaged, 100'000).messages.size(), 1u);
 }
 
-// Five messages a second for 45 minutes, a host replaced every 5 s, a restart every 5 minutes: what stands in
-// the folder follows what is held, not what was.
+// Five messages a second for 45 minutes, a host replaced every 5 s, a restart every 5 minutes: disk usage
+// must follow the live data and not grow with the history.
 TEST(Journal, FortyFiveMinutesOfMessagesAndHostsLeaveTheFolderFlat) {
   constexpr size_t kDisk = 300'000;
   MemoryFiles files;
