--- a/ctl/fleet.cpp
+++ b/ctl/fleet.cpp
@@ -9,8 +9,8 @@
 
 namespace umberhoist::ctl {
 
-FleetReply send_request(const std::string& address, register_pb::Ask question,
-                        std::chrono::milliseconds wait) {
+FleetReply send_request(const std::string& address, register_pb::Ask request,
+                        std::chrono::milliseconds timeout) {
   using tcp = boost::asio::ip::tcp;
   const size_t colon = address.rfind(':');
   boost::system::error_code error;
@@ -20,46 +20,46 @@
     return {false, false, "'" + address + "' is no address; expected IPv4 and port, as 127.0.0.1:7101"};
   }
   register_pb::Frame frame;
-  question.set_number(1);
-  *frame.mutable_ask() = std::move(question);
-  const std::string out = fleet::encode_frame(frame);
+  request.set_number(1);
+  *frame.mutable_ask() = std::move(request);
+  const std::string request_bytes = fleet::encode_frame(frame);
 
   boost::asio::io_context io;
   tcp::socket socket(io);
   FleetReply reply{false, false, "no answer from " + address + " in time"};
-  std::string in;
-  std::array<char, 65'536> bytes;
+  std::string received;
+  std::array<char, 65'536> buffer;
   std::function<void()> read = [&] {
-    socket.async_read_some(boost::asio::buffer(bytes),
-                           [&](const boost::system::error_code& failed, size_t got) {
-                             if (failed) {
-                               reply.text = address + ": " + failed.message();
+    socket.async_read_some(boost::asio::buffer(buffer),
+                           [&](const boost::system::error_code& failure, size_t bytes_received) {
+                             if (failure) {
+                               reply.text = address + ": " + failure.message();
                                return;
                              }
-                             in.append(bytes.data(), got);
-                             bool bad = false;
-                             const auto told = fleet::decode_frame(in, bad);
-                             if (bad) {
+                             received.append(buffer.data(), bytes_received);
+                             bool malformed = false;
+                             const auto reply_frame = fleet::decode_frame(received, malformed);
+                             if (malformed) {
                                reply.text = address + " answers what is no frame";
-                             } else if (!told) {
+                             } else if (!reply_frame) {
                                read();
                              } else {
-                               reply = {true, told->told().done(), told->told().text()};
+                               reply = {true, reply_frame->told().done(), reply_frame->told().text()};
                              }
                            });
   };
-  socket.async_connect({host, static_cast<uint16_t>(port)}, [&](const boost::system::error_code& failed) {
-    if (failed) {
-      reply.text = address + ": " + failed.message();
+  socket.async_connect({host, static_cast<uint16_t>(port)}, [&](const boost::system::error_code& failure) {
+    if (failure) {
+      reply.text = address + ": " + failure.message();
       return;
     }
-    boost::asio::async_write(socket, boost::asio::buffer(out),
-                             [&](const boost::system::error_code& lost, size_t) {
-                               if (lost) reply.text = address + ": " + lost.message();
+    boost::asio::async_write(socket, boost::asio::buffer(request_bytes),
+                             [&](const boost::system::error_code& write_error, size_t) {
+                               if (write_error) reply.text = address + ": " + write_error.message();
                              });
     read();
   });
-  io.run_for(wait);
+  io.run_for(timeout);
   return reply;
 }
 
--- a/ctl/fleet.h
+++ b/ctl/fleet.h
@@ -1,4 +1,4 @@
-// One question to a relay's fleet address, and its answer.
+// Sends one operator request to a relay's fleet address and waits for the reply.
 #pragma once
 
 #include <chrono>
@@ -9,13 +9,14 @@
 namespace umberhoist::ctl {
 
 struct FleetReply {
-  bool received = false;  // false: nobody answered; `text` says why
+  bool received = false;  // false: there was no reply; `text` says why
   bool succeeded = false;
   std::string text;
 };
 
-// `address`: IPv4 and port. Waits for a connection and an answer no longer than `wait` in all.
-FleetReply send_request(const std::string& address, register_pb::Ask question,
-                        std::chrono::milliseconds wait = std::chrono::milliseconds(20'000));
+// `address` is an IPv4 address and port. Connecting and waiting for the reply take at most `timeout` in
+// total.
+FleetReply send_request(const std::string& address, register_pb::Ask request,
+                        std::chrono::milliseconds timeout = std::chrono::milliseconds(20'000));
 
 }  // namespace umberhoist::ctl
--- a/ctl/fleet_verbs.h
+++ b/ctl/fleet_verbs.h
@@ -1,4 +1,5 @@
-// umberhoistctl map, freeze and fleet: files are checked offline, everything else asks a relay.
+// The umberhoistctl commands map, freeze and fleet. The check commands work offline on files; all others send
+// a request to a relay.
 #pragma once
 
 #include <memory>
@@ -15,8 +16,8 @@
  public:
   explicit FleetCommands(CLI::App& app);
   ~FleetCommands();
-  // Exit status of the verb that was given; nothing: none of these. 0: done, or open; 1: refused, or closed;
-  // 2: bad input, or defects.
+  // Runs the command that was parsed and returns its exit status, or nothing if it was none of these. 0:
+  // done, or open; 1: refused by the relay, or closed; 2: bad input, invalid file, or no reply.
   std::optional<int> run(std::ostream& out, std::ostream& err);
 
  private:
--- a/ctl/journal.h
+++ b/ctl/journal.h
@@ -1,4 +1,4 @@
-// `umberhoistctl journal`: what stands in a state folder, for people and for scripts. Nothing is changed.
+// `umberhoistctl journal`: prints the contents of a state folder for operators and scripts. Changes nothing.
 #pragma once
 
 #include <iosfwd>
@@ -7,17 +7,18 @@
 
 namespace umberhoist::ctl {
 
-// Exit statuses: 0 whole, 1 something is damaged or would not be read, 2 the folder cannot be read.
-int check_journal(const std::string& folder, bool as_json, std::ostream& out, std::ostream& errors);
+// Return the exit status: 0 if the folder is intact, 1 if something is damaged or a segment is rejected, 2 if
+// the folder cannot be read.
+int check_journal(const std::string& folder_path, bool as_json, std::ostream& out, std::ostream& errors);
 
 struct DumpOptions {
   std::string folder;
-  bool live = false;  // only messages that are alive, as a start would resume them; else every record
+  bool live = false;  // live messages as a restart would resume them, in place of all records
   bool bodies = false;
-  std::optional<uint64_t> segment;  // only this one's records
-  std::string id;                   // only this message's
+  std::optional<uint64_t> segment;  // only records of this segment
+  std::string id;                   // only records of this message
 };
-// One JSON object a line.
-int dump_journal(const DumpOptions& what, std::ostream& out, std::ostream& errors);
+// Prints one JSON object per line.
+int dump_journal(const DumpOptions& options, std::ostream& out, std::ostream& errors);
 
 }  // namespace umberhoist::ctl
--- a/ctl/main.cpp
+++ b/ctl/main.cpp
@@ -21,14 +21,14 @@
       journal->add_subcommand("check", "is it whole? Exit status 0: yes, 1: no, 2: it cannot be read");
   check->add_option("folder", folder, "the state folder")->required();
   check->add_flag("--json", as_json, "one JSON object in place of lines");
-  DumpOptions what;
+  DumpOptions dump_options;
   auto* dump =
       journal->add_subcommand("dump", "its records, one JSON object a line, in the order of reading");
-  dump->add_option("folder", what.folder, "the state folder")->required();
-  dump->add_flag("--live", what.live, "only messages that are alive, as a start would resume them");
-  dump->add_flag("--bodies", what.bodies, "with their bodies, in hexadecimal");
-  dump->add_option("--segment", what.segment, "only this segment's records, by number");
-  dump->add_option("--id", what.id, "only this message's");
+  dump->add_option("folder", dump_options.folder, "the state folder")->required();
+  dump->add_flag("--live", dump_options.live, "only messages that are alive, as a start would resume them");
+  dump->add_flag("--bodies", dump_options.bodies, "with their bodies, in hexadecimal");
+  dump->add_option("--segment", dump_options.segment, "only this segment's records, by number");
+  dump->add_option("--id", dump_options.id, "only this message's");
 #ifdef UMBERHOIST_FLEET
   FleetCommands fleet(app);
 #endif
@@ -43,5 +43,5 @@
   if (const auto status = fleet.run(std::cout, std::cerr)) return *status;
 #endif
   return check->parsed() ? check_journal(folder, as_json, std::cout, std::cerr)
-                         : dump_journal(what, std::cout, std::cerr);
+                         : dump_journal(dump_options, std::cout, std::cerr);
 }
--- a/tests/ctl/fleet_verbs_test.cpp
+++ b/tests/ctl/fleet_verbs_test.cpp
@@ -1,4 +1,5 @@
-// umberhoistctl's verbs that work offline on files, as an operator calls them; and a wrong fleet.toml.
+// The umberhoistctl commands that work offline on files, run as an operator runs them; and errors in
+// fleet.toml.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -12,7 +13,7 @@
 namespace umberhoist::ctl {
 namespace {
 
-struct Ran {
+struct CommandResult {
   int status = 0;
   std::string out;
 };
@@ -28,9 +29,9 @@
     std::ofstream(folder / name) << text;
     return folder / name;
   }
-  static Ran run(const std::string& words) {
-    Ran out;
-    FILE* pipe = ::popen((std::string(UMBERHOISTCTL) + " " + words + " 2>&1").c_str(), "r");
+  static CommandResult run(const std::string& arguments) {
+    CommandResult out;
+    FILE* pipe = ::popen((std::string(UMBERHOISTCTL) + " " + arguments + " 2>&1").c_str(), "r");
     std::array<char, 4096> bytes;
     while (const size_t got = std::fread(bytes.data(), 1, bytes.size(), pipe))
       out.out.append(bytes.data(), got);
@@ -51,17 +52,19 @@
   const std::string right =
       file("right.toml", map(1, "7fffffffffffffff", "8000000000000000", "ffffffffffffffff"));
   EXPECT_EQ(run("map check " + right).status, 0);
-  const auto lacking = run(
+  const auto with_gap = run(
       "map check " + file("last.toml", map(1, "7fffffffffffffff", "8000000000000000", "fffffffffffffffe")));
-  EXPECT_EQ(lacking.status, 2);
-  EXPECT_NE(lacking.out.find("gap ffffffffffffffff..ffffffffffffffff"), std::string::npos) << lacking.out;
+  EXPECT_EQ(with_gap.status, 2);
+  EXPECT_NE(with_gap.out.find("gap ffffffffffffffff..ffffffffffffffff"), std::string::npos) << with_gap.out;
   const std::string next =
       file("next.toml", map(2, "77ffffffffffffff", "7800000000000000", "ffffffffffffffff"));
   EXPECT_EQ(run("map check " + next + " --present " + right + " --members n1,n2").status, 0);
-  const auto stranger = run("map check " + next + " --present " + next + " --members n1");
-  EXPECT_EQ(stranger.status, 2);
-  EXPECT_NE(stranger.out.find("next.toml:1: epoch is 2; expected 3"), std::string::npos) << stranger.out;
-  EXPECT_NE(stranger.out.find("next.toml:7: owner 'n2' is no member"), std::string::npos) << stranger.out;
+  const auto with_unknown_owner = run("map check " + next + " --present " + next + " --members n1");
+  EXPECT_EQ(with_unknown_owner.status, 2);
+  EXPECT_NE(with_unknown_owner.out.find("next.toml:1: epoch is 2; expected 3"), std::string::npos)
+      << with_unknown_owner.out;
+  EXPECT_NE(with_unknown_owner.out.find("next.toml:7: owner 'n2' is no member"), std::string::npos)
+      << with_unknown_owner.out;
   EXPECT_EQ(run("map check " + file("bad.toml", "epoch = ")).status, 2);
   EXPECT_EQ(run("map check " + (folder / "none").string()).status, 2);
 }
--- a/tests/ctl/journal_test.cpp
+++ b/tests/ctl/journal_test.cpp
@@ -1,4 +1,5 @@
-// `umberhoistctl journal` on folders that are whole, torn, damaged or strange; it changes none of them.
+// `umberhoistctl journal` on intact and damaged folders, with torn tails and rejected segments; it must
+// change none of them.
 #include "ctl/journal.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +52,7 @@
     }
     return out;
   }
-  void change(const std::string& name, const std::string& bytes) const {
+  void write_file(const std::string& name, const std::string& bytes) const {
     std::ofstream(folder_ / name, std::ios::binary) << bytes;
   }
   int check(bool as_json = true) {
@@ -61,7 +62,7 @@
     EXPECT_EQ(contents(), before) << "it must not change the folder";
     return status;
   }
-  std::vector<json> dump(DumpOptions what) {
+  std::vector<json> dump_records(DumpOptions what) {
     out_.str("");
     what.folder = folder_;
     dump_journal(what, out_, errors_);
@@ -78,11 +79,11 @@
 
 TEST_F(CtlJournal, SaysThatAWholeFolderIsWhole) {
   EXPECT_EQ(check(), 0);
-  const json seen = json::parse(out_.str());
-  EXPECT_EQ(seen.at("live"), 2);
-  EXPECT_EQ(seen.at("owed"), 1);
-  EXPECT_EQ(seen.at("facts"), 1);
-  EXPECT_EQ(seen.at("segments").at(0).at("records").at("accepted"), 3);
+  const json report = json::parse(out_.str());
+  EXPECT_EQ(report.at("live"), 2);
+  EXPECT_EQ(report.at("owed"), 1);
+  EXPECT_EQ(report.at("facts"), 1);
+  EXPECT_EQ(report.at("segments").at(0).at("records").at("accepted"), 3);
   EXPECT_EQ(check(false), 0);
   EXPECT_NE(out_.str().find("2 messages alive, 1 of them with a notice to be sent; 1 facts"),
             std::string::npos)
@@ -91,33 +92,33 @@
 
 TEST_F(CtlJournal, ATornEndIsNoDamageAndAFlippedByteIs) {
   const std::string good = contents().at(kFirst);
-  change(kFirst, good.substr(0, good.size() - 5));
+  write_file(kFirst, good.substr(0, good.size() - 5));
   EXPECT_EQ(check(), 0);
   EXPECT_EQ(json::parse(out_.str()).at("segments").at(0).at("lost").at(0).at("tail"), true);
   std::string bad = good;
-  bad[kHeaderBytes + 20] ^= 1;  // in the first acceptance
-  change(kFirst, bad);
+  bad[kHeaderBytes + 20] ^= 1;  // in the first accepted record
+  write_file(kFirst, bad);
   EXPECT_EQ(check(), 1);
-  const json seen = json::parse(out_.str());
-  EXPECT_EQ(seen.at("segments").at(0).at("lost").at(0).at("at"), kHeaderBytes);
-  EXPECT_EQ(seen.at("orphans"), 1) << "attempts of a are left";
+  const json report = json::parse(out_.str());
+  EXPECT_EQ(report.at("segments").at(0).at("lost").at(0).at("at"), kHeaderBytes);
+  EXPECT_EQ(report.at("orphans"), 1) << "attempts of a are left";
   EXPECT_EQ(check(false), 1);
   EXPECT_NE(out_.str().find("NOT whole"), std::string::npos);
 }
 
 TEST_F(CtlJournal, NamesStrangeSegments) {
-  change("journal-0000000009", contents().at(kFirst));
-  change("journal-0000000010", "");
-  change("notes.txt", "by hand");
+  write_file("journal-0000000009", contents().at(kFirst));
+  write_file("journal-0000000010", "");
+  write_file("notes.txt", "by hand");
   EXPECT_EQ(check(), 1);
-  const json seen = json::parse(out_.str());
-  EXPECT_EQ(seen.at("segments").at(1).at("strange"), "it is segment 1 under another name");
-  EXPECT_EQ(seen.at("segments").at(2).at("strange"), "it is empty");
-  EXPECT_EQ(seen.at("others").at("notes.txt"), 7);
+  const json report = json::parse(out_.str());
+  EXPECT_EQ(report.at("segments").at(1).at("strange"), "it is segment 1 under another name");
+  EXPECT_EQ(report.at("segments").at(2).at("strange"), "it is empty");
+  EXPECT_EQ(report.at("others").at("notes.txt"), 7);
 }
 
 TEST_F(CtlJournal, DumpsEachRecordOrWhatAStartWouldResume) {
-  const auto all = dump({});
+  const auto all = dump_records({});
   ASSERT_EQ(all.size(), 9u);
   EXPECT_EQ(all[0].at("kind"), "accepted");
   EXPECT_EQ(all[0].at("message").at("tenant"), "daily");
@@ -127,14 +128,14 @@
   DumpOptions one;
   one.id = "a";
   one.bodies = true;
-  const auto of_a = dump(one);
+  const auto of_a = dump_records(one);
   ASSERT_EQ(of_a.size(), 4u);
   EXPECT_EQ(of_a[0].at("message").at("body_hex"), "626f647920ff206f662061");
-  one.segment = 2;  // whose records would name it by its order alone
-  EXPECT_TRUE(dump(one).empty());
+  one.segment = 2;  // records in other segments refer to the message by its sequence number only
+  EXPECT_TRUE(dump_records(one).empty());
   DumpOptions live;
   live.live = true;
-  const auto left = dump(live);
+  const auto left = dump_records(live);
   ASSERT_EQ(left.size(), 2u);
   EXPECT_EQ(left[0].at("attempts").size(), 2u);
   EXPECT_EQ(left[0].at("attempts").at(1).at("never_ran"), true);
@@ -142,12 +143,13 @@
 }
 
 TEST_F(CtlJournal, TheProgramSaysWhatIsWrongInOneLine) {
-  const auto run = [&](const std::string& words) {
-    const std::string to = folder_ / "out";
-    const int status = std::system((std::string(UMBERHOISTCTL) + " " + words + " >" + to + " 2>&1").c_str());
-    std::ifstream file(to);
+  const auto run = [&](const std::string& arguments) {
+    const std::string output_file = folder_ / "out";
+    const int status =
+        std::system((std::string(UMBERHOISTCTL) + " " + arguments + " >" + output_file + " 2>&1").c_str());
+    std::ifstream file(output_file);
     out_.str(std::string(std::istreambuf_iterator<char>(file), {}));
-    std::filesystem::remove(to);
+    std::filesystem::remove(output_file);
     return WEXITSTATUS(status);
   };
   EXPECT_EQ(run("journal check " + folder_.string()), 0) << out_.str();
