--- a/bench/trivial_relay.cpp
+++ b/bench/trivial_relay.cpp
@@ -1,5 +1,6 @@
-// The least that the rehearsal kit can be driven against: takes a message, says +OK, and makes one call with
-// it. No journal, no decision, no second try. With it the kit's own speed is measured, not the daemon's.
+// Minimal relay to run the rehearsal kit against: accepts a message, replies +OK and makes one call with it.
+// It has no journal, no decision module and no retries, so that a run measures the speed of the kit and not
+// of the daemon.
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
