--- a/standins/agent.cpp
+++ b/standins/agent.cpp
@@ -15,8 +15,8 @@
 using Error = boost::system::error_code;
 using nlohmann::json;
 
-constexpr auto kBeat = std::chrono::seconds(2);  // an empty line on a watch on which nothing changes
-constexpr size_t kMostBody = 4 * 1024 * 1024;
+constexpr auto kHeartbeatInterval = std::chrono::seconds(2);  // interval of empty lines on an idle watch
+constexpr size_t kMaxBodyBytes = 4 * 1024 * 1024;
 
 const char* phase_name(HostState phase) {
   return phase == HostState::kActive ? "active" : phase == HostState::kDraining ? "leaving" : "left";
@@ -49,40 +49,40 @@
 
   void read() {
     parser_.emplace();
-    parser_->body_limit(kMostBody);
+    parser_->body_limit(kMaxBodyBytes);
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](const Error& error, size_t) {
       if (self->owner_ == nullptr) return;
-      if (error) return self->leave();
+      if (error) return self->close();
       self->request_ = self->parser_->release();
-      self->serve();
+      self->handle_request();
     });
   }
 
-  // A watch: what changed since its version, if anything did.
-  void push() {
-    if (!watching_ || owner_ == nullptr || owner_->muted_ || writing_) return;
-    std::vector<std::pair<int, HostState>> told;
-    const std::string line = owner_->changes_since(seen_, told);
-    if (told.empty()) return;
-    seen_ = owner_->revision_;
-    write(chunk(line + "\n"), std::move(told));
+  // On a watch, writes the changes since the version that it has.
+  void push_changes() {
+    if (!is_watch_ || owner_ == nullptr || owner_->silent_ || is_writing_) return;
+    std::vector<std::pair<int, HostState>> notified;
+    const std::string line = owner_->changes_since(client_revision_, notified);
+    if (notified.empty()) return;
+    client_revision_ = owner_->revision_;
+    write(chunk(line + "\n"), std::move(notified));
   }
 
-  void beat() {
-    if (watching_ && owner_ != nullptr && !owner_->muted_ && !writing_) write(chunk("\n"), {});
+  void send_heartbeat() {
+    if (is_watch_ && owner_ != nullptr && !owner_->silent_ && !is_writing_) write(chunk("\n"), {});
   }
 
-  void unmute() {
+  void resume() {
     if (owner_ == nullptr) return;
-    if (std::exchange(waiting_, false)) return serve();
-    push();
+    if (std::exchange(request_waiting_, false)) return handle_request();
+    push_changes();
   }
 
-  void let_go() {
-    if (owner_ != nullptr && std::exchange(held_back_, false)) answer("204 No Content", "");
+  void release_notice_reply() {
+    if (owner_ != nullptr && std::exchange(notice_reply_held_, false)) respond("204 No Content", "");
   }
 
-  void leave() {
+  void close() {
     if (owner_ == nullptr) return;
     DiscoveryAgent* owner = std::exchange(owner_, nullptr);
     Error ignored;
@@ -90,57 +90,57 @@
     owner->connections_.erase(shared_from_this());
   }
 
-  void orphan() {
+  void detach() {
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
   }
 
  private:
-  void serve() {
+  void handle_request() {
     const std::string target(request_.target());
-    if (request_.method() == http::verb::post && target == "/v2/finals") return notices();
-    if (owner_->muted_) {  // silent, until it speaks again
-      waiting_ = true;
+    if (request_.method() == http::verb::post && target == "/v2/finals") return handle_notices();
+    if (owner_->silent_) {  // answered once the agent is no longer silent
+      request_waiting_ = true;
       return;
     }
     if (request_.method() != http::verb::get || !target.starts_with("/api/targets"))
-      return answer("404 Not Found", "");
-    if (target.find("stream=1") == std::string::npos) return answer("200 OK", owner_->full_list_json());
+      return respond("404 Not Found", "");
+    if (target.find("stream=1") == std::string::npos) return respond("200 OK", owner_->full_list_json());
     const size_t index = target.find("index=");
-    seen_ = -1;
+    client_revision_ = -1;
     if (index != std::string::npos) {
       const char* from = target.data() + index + 6;
-      std::from_chars(from, target.data() + target.size(), seen_);
+      std::from_chars(from, target.data() + target.size(), client_revision_);
     }
-    watching_ = true;
-    std::vector<std::pair<int, HostState>> told;
-    const std::string line = owner_->changes_since(seen_, told);
-    seen_ = owner_->revision_;
+    is_watch_ = true;
+    std::vector<std::pair<int, HostState>> notified;
+    const std::string line = owner_->changes_since(client_revision_, notified);
+    client_revision_ = owner_->revision_;
     write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n" +
               chunk(line + "\n"),
-          std::move(told));
-    watch_end();
+          std::move(notified));
+    wait_for_close();
   }
 
-  // A watch lasts until its connection ends, which shows in a read.
-  void watch_end() {
+  // A watch lasts until the relay closes its connection, which only a read detects.
+  void wait_for_close() {
     socket_.async_read_some(buffer_.prepare(512),
                             [self = shared_from_this()](const Error& error, size_t count) {
                               if (self->owner_ == nullptr) return;
-                              if (error || count == 0) return self->leave();
-                              self->watch_end();
+                              if (error || count == 0) return self->close();
+                              self->wait_for_close();
                             });
   }
 
-  void notices() {
+  void handle_notices() {
     const Time now = steady_now();
-    struct Read {
+    struct ParsedNotice {
       uint64_t id;
       bool returned;
       Time after;
     };
-    std::vector<Read> all;
+    std::vector<ParsedNotice> parsed;
     std::string body = request_.body();
     try {
       for (size_t end = 0; !body.empty(); body.erase(0, end)) {
@@ -151,44 +151,44 @@
         const json notice = json::parse(line);
         const auto state = notice.at("state").get<std::string>();
         if (state != "failed" && state != "returned") throw std::invalid_argument("state");
-        all.push_back({std::stoull(notice.at("id").get<std::string>(), nullptr, 16), state == "returned",
-                       static_cast<Time>(notice.value("after_ms", 0.0) * 1e3)});
+        parsed.push_back({std::stoull(notice.at("id").get<std::string>(), nullptr, 16), state == "returned",
+                          static_cast<Time>(notice.value("after_ms", 0.0) * 1e3)});
       }
     } catch (const std::exception&) {
-      return answer("400 Bad Request", "");
+      return respond("400 Bad Request", "");
     }
-    for (const Read& notice : all) {
-      ++owner_->notices_;
-      owner_->witness_.on_notice(now, owner_->relay_, notice.id, notice.returned, notice.after);
+    for (const ParsedNotice& notice : parsed) {
+      ++owner_->notice_count_;
+      owner_->observer_.on_notice(now, owner_->relay_, notice.id, notice.returned, notice.after);
     }
-    held_back_ = owner_->holding_;
-    if (!held_back_) answer("204 No Content", "");
+    notice_reply_held_ = owner_->holding_notice_replies_;
+    if (!notice_reply_held_) respond("204 No Content", "");
   }
 
-  void answer(const std::string& status, const std::string& body) {
+  void respond(const std::string& status, const std::string& body) {
     std::string out = "HTTP/1.1 " + status + "\r\n";
     if (!status.starts_with("204")) out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     out += "\r\n" + body;
     write(std::move(out), {});
-    then_read_ = true;
+    read_after_write_ = true;
   }
 
-  void write(std::string bytes, std::vector<std::pair<int, HostState>> told) {
+  void write(std::string bytes, std::vector<std::pair<int, HostState>> notified) {
     out_ = std::move(bytes);
-    writing_ = true;
-    boost::asio::async_write(socket_, boost::asio::buffer(out_),
-                             [self = shared_from_this(), told = std::move(told)](const Error& error, size_t) {
-                               if (self->owner_ == nullptr) return;
-                               self->writing_ = false;
-                               if (error) return self->leave();
-                               const Time now = steady_now();
-                               for (const auto& [endpoint, phase] : told) {
-                                 self->owner_->witness_.on_relay_notified(now, self->owner_->relay_, endpoint,
-                                                                          phase);
-                               }
-                               if (std::exchange(self->then_read_, false)) return self->read();
-                               self->push();
-                             });
+    is_writing_ = true;
+    boost::asio::async_write(
+        socket_, boost::asio::buffer(out_),
+        [self = shared_from_this(), notified = std::move(notified)](const Error& error, size_t) {
+          if (self->owner_ == nullptr) return;
+          self->is_writing_ = false;
+          if (error) return self->close();
+          const Time now = steady_now();
+          for (const auto& [endpoint, phase] : notified) {
+            self->owner_->observer_.on_relay_notified(now, self->owner_->relay_, endpoint, phase);
+          }
+          if (std::exchange(self->read_after_write_, false)) return self->read();
+          self->push_changes();
+        });
   }
 
   DiscoveryAgent* owner_;
@@ -197,23 +197,23 @@
   std::optional<http::request_parser<http::string_body>> parser_;
   http::request<http::string_body> request_;
   std::string out_;
-  int64_t seen_ = -1;
-  bool watching_ = false;
-  bool writing_ = false;
-  bool held_back_ = false;  // the answer to its notices
-  bool waiting_ = false;    // for the agent to speak again
-  bool then_read_ = false;  // the next request, once the answer is written
+  int64_t client_revision_ = -1;
+  bool is_watch_ = false;
+  bool is_writing_ = false;
+  bool notice_reply_held_ = false;  // the response to notices is on hold
+  bool request_waiting_ = false;    // a request waits until the agent is no longer silent
+  bool read_after_write_ = false;   // read the next request once the response is written
 };
 
-DiscoveryAgent::DiscoveryAgent(boost::asio::io_context& io, int relay, Observer& witness)
-    : io_(io), relay_(relay), witness_(witness), acceptor_(io), beat_(io), grace_(io) {
+DiscoveryAgent::DiscoveryAgent(boost::asio::io_context& io, int relay, Observer& observer)
+    : io_(io), relay_(relay), observer_(observer), acceptor_(io), heartbeat_timer_(io), grace_timer_(io) {
   listen();
-  beat();
+  send_heartbeat();
 }
 
 DiscoveryAgent::~DiscoveryAgent() {
   *alive_ = false;
-  for (const auto& connection : connections_) connection->orphan();
+  for (const auto& connection : connections_) connection->detach();
 }
 
 std::string DiscoveryAgent::address() const {
@@ -243,39 +243,39 @@
   ++revision_;
   for (const ListEntry& entry : changed) {
     entries_[entry.endpoint] = entry;
-    changed_at_[entry.endpoint] = revision_;
-    witness_.on_agent_updated(steady_now(), relay_, entry.endpoint, entry.phase);
+    changed_in_revision_[entry.endpoint] = revision_;
+    observer_.on_agent_updated(steady_now(), relay_, entry.endpoint, entry.phase);
   }
-  push();
+  push_changes();
 }
 
-void DiscoveryAgent::push() {
-  const auto all = connections_;
-  for (const auto& connection : all) connection->push();
+void DiscoveryAgent::push_changes() {
+  const auto connections = connections_;
+  for (const auto& connection : connections) connection->push_changes();
 }
 
-void DiscoveryAgent::set_silent(bool muted) {
-  muted_ = muted;
-  if (muted) return;
-  const auto all = connections_;
-  for (const auto& connection : all) connection->unmute();
+void DiscoveryAgent::set_silent(bool silent) {
+  silent_ = silent;
+  if (silent) return;
+  const auto connections = connections_;
+  for (const auto& connection : connections) connection->resume();
 }
 
 void DiscoveryAgent::hold_notice_replies(bool hold) {
-  holding_ = hold;
+  holding_notice_replies_ = hold;
   if (hold) return;
-  const auto all = connections_;
-  for (const auto& connection : all) connection->let_go();
+  const auto connections = connections_;
+  for (const auto& connection : connections) connection->release_notice_reply();
 }
 
 void DiscoveryAgent::move_to_new_port(Time grace) {
-  const auto before = connections_;
+  const auto old_connections = connections_;
   acceptor_.close();
   listen();
-  grace_.expires_after(std::chrono::microseconds(grace));
-  grace_.async_wait([before, alive = alive_](const Error& error) {
+  grace_timer_.expires_after(std::chrono::microseconds(grace));
+  grace_timer_.async_wait([old_connections, alive = alive_](const Error& error) {
     if (error || !*alive) return;
-    for (const auto& connection : before) connection->leave();
+    for (const auto& connection : old_connections) connection->close();
   });
 }
 
@@ -287,33 +287,34 @@
   return json{{"revision", revision_}, {"complete", true}, {"members", members}}.dump();
 }
 
-// What changed after that version, or the whole list for a version that is none of ours. `told` names each
-// entry.
+// The changes after `revision`, or the complete list if the agent never had that version. Appends each entry
+// that the relay learns of to `notified`.
 std::string DiscoveryAgent::changes_since(int64_t revision,
-                                          std::vector<std::pair<int, HostState>>& told) const {
-  const bool whole = revision < 0 || revision > revision_;
+                                          std::vector<std::pair<int, HostState>>& notified) const {
+  const bool complete = revision < 0 || revision > revision_;
   json members = json::array();
   for (const auto& [endpoint, entry] : entries_) {
-    const bool fresh = whole ? entry.phase != HostState::kRemoved : changed_at_.at(endpoint) > revision;
-    if (!fresh) continue;
+    const bool included =
+        complete ? entry.phase != HostState::kRemoved : changed_in_revision_.at(endpoint) > revision;
+    if (!included) continue;
     members.push_back(to_json(entry));
-    told.emplace_back(endpoint, entry.phase);
+    notified.emplace_back(endpoint, entry.phase);
   }
-  if (whole) {
-    for (const auto& [endpoint, entry] : entries_) {  // not in a whole list: gone
-      if (entry.phase == HostState::kRemoved) told.emplace_back(endpoint, HostState::kRemoved);
+  if (complete) {
+    for (const auto& [endpoint, entry] : entries_) {  // a complete list does not contain removed endpoints
+      if (entry.phase == HostState::kRemoved) notified.emplace_back(endpoint, HostState::kRemoved);
     }
   }
-  return json{{"revision", revision_}, {"complete", whole}, {"members", members}}.dump();
+  return json{{"revision", revision_}, {"complete", complete}, {"members", members}}.dump();
 }
 
-void DiscoveryAgent::beat() {
-  beat_.expires_after(kBeat);
-  beat_.async_wait([this, alive = alive_](const Error& error) {
+void DiscoveryAgent::send_heartbeat() {
+  heartbeat_timer_.expires_after(kHeartbeatInterval);
+  heartbeat_timer_.async_wait([this, alive = alive_](const Error& error) {
     if (error || !*alive) return;
-    const auto all = connections_;
-    for (const auto& connection : all) connection->beat();
-    beat();
+    const auto connections = connections_;
+    for (const auto& connection : connections) connection->send_heartbeat();
+    send_heartbeat();
   });
 }
 
--- a/standins/endpoints.cpp
+++ b/standins/endpoints.cpp
@@ -18,10 +18,10 @@
 using Error = boost::system::error_code;
 
 constexpr int kBacklog = 512;
-constexpr size_t kReadAtOnce = 8 * 1024;
-constexpr Time kLinger =
-    kSecond;                  // a call that crosses the close of an idle connection comes within this time
-constexpr size_t kPlugs = 4;  // connections that keep a silent listener's queue full
+constexpr size_t kReadChunkBytes = 8 * 1024;
+// A call that was on its way when an idle connection was closed arrives within this time.
+constexpr Time kCloseGrace = kSecond;
+constexpr size_t kQueueFillers = 4;  // connections that fill the accept queue of a silent listener
 
 uint64_t parse_hex(std::string_view text) {
   uint64_t value = 0;
@@ -34,13 +34,13 @@
 }  // namespace
 
 tcp::acceptor bind_acceptor(boost::asio::io_context& io) {
-  // A port that was asked for by number stays bound through shutdown and listen; one that was drawn does not.
-  tcp::acceptor drawn(io, tcp::v4());
-  drawn.set_option(tcp::acceptor::reuse_address(true));
-  drawn.bind({boost::asio::ip::address_v4::loopback(), 0});
+  // A port that was bound by number stays bound through shutdown and listen; an ephemeral one does not.
+  tcp::acceptor ephemeral(io, tcp::v4());
+  ephemeral.set_option(tcp::acceptor::reuse_address(true));
+  ephemeral.bind({boost::asio::ip::address_v4::loopback(), 0});
   tcp::acceptor out(io, tcp::v4());
   out.set_option(tcp::acceptor::reuse_address(true));
-  out.bind(drawn.local_endpoint());
+  out.bind(ephemeral.local_endpoint());
   return out;
 }
 
@@ -48,13 +48,13 @@
 
 class Endpoints::Site {
  public:
-  enum class State { kClosed, kListening, kPlugged };
+  enum class State { kClosed, kListening, kBlocked };
 
   Site(Endpoints& owner) : owner_(owner) {
-    for (int relay = 0; relay < owner.limits_.relays; ++relay) {
-      doors_.push_back(
-          std::make_unique<Door>(Door{bind_acceptor(owner.io_), {}, boost::asio::steady_timer(owner.io_)}));
-      ports_.push_back(doors_.back()->acceptor.local_endpoint().port());
+    for (int relay = 0; relay < owner.options_.relays; ++relay) {
+      listeners_.push_back(std::make_unique<Listener>(
+          Listener{bind_acceptor(owner.io_), {}, boost::asio::steady_timer(owner.io_)}));
+      ports_.push_back(listeners_.back()->acceptor.local_endpoint().port());
     }
   }
 
@@ -62,61 +62,61 @@
 
   void listen() {
     if (state_ == State::kListening) return;
-    for (size_t i = 0; i < doors_.size(); ++i) {
-      Door& door = *doors_[i];
-      door.plugs.clear();
-      ::listen(door.acceptor.native_handle(), kBacklog);
-      if (!door.waiting) accept(i);  // else the one that was cancelled goes on when it hears so
+    for (size_t i = 0; i < listeners_.size(); ++i) {
+      Listener& listener = *listeners_[i];
+      listener.queue_fillers.clear();
+      ::listen(listener.acceptor.native_handle(), kBacklog);
+      if (!listener.accept_pending) accept(i);  // otherwise the cancelled accept restarts in its handler
     }
     state_ = State::kListening;
   }
 
-  // New connections are refused; the port stays ours.
+  // New connections are refused, but the port stays bound.
   void close() {
-    for (const auto& door : doors_) {
+    for (const auto& listener : listeners_) {
       Error ignored;
-      door->plugs.clear();
-      door->acceptor.cancel(ignored);
-      ::shutdown(door->acceptor.native_handle(), SHUT_RDWR);
+      listener->queue_fillers.clear();
+      listener->acceptor.cancel(ignored);
+      ::shutdown(listener->acceptor.native_handle(), SHUT_RDWR);
     }
     state_ = State::kClosed;
   }
 
-  // New connections never come up: the queue of the listener is kept full, so that a SYN gets no answer.
-  void plug() {
-    for (const auto& door : doors_) {
+  // New connections are never established: the accept queue is kept full, so that a SYN gets no answer.
+  void block_connects() {
+    for (const auto& listener : listeners_) {
       Error ignored;
-      door->acceptor.cancel(ignored);
-      ::listen(door->acceptor.native_handle(), 0);
-      for (size_t i = 0; i < kPlugs; ++i) {
-        tcp::socket plug(owner_.io_, tcp::v4());
-        const tcp::endpoint here = door->acceptor.local_endpoint();
-        plug.native_non_blocking(true, ignored);  // its connect would wait for an answer that never comes
-        if (::connect(plug.native_handle(), here.data(), static_cast<socklen_t>(here.size())) != 0 &&
+      listener->acceptor.cancel(ignored);
+      ::listen(listener->acceptor.native_handle(), 0);
+      for (size_t i = 0; i < kQueueFillers; ++i) {
+        tcp::socket filler(owner_.io_, tcp::v4());
+        const tcp::endpoint address = listener->acceptor.local_endpoint();
+        filler.native_non_blocking(true, ignored);  // a blocking connect would wait forever
+        if (::connect(filler.native_handle(), address.data(), static_cast<socklen_t>(address.size())) != 0 &&
             errno != EINPROGRESS) {
           continue;
         }
-        door->plugs.push_back(std::move(plug));
+        listener->queue_fillers.push_back(std::move(filler));
       }
     }
-    state_ = State::kPlugged;
+    state_ = State::kBlocked;
   }
 
   Endpoint* endpoint = nullptr;
 
  private:
-  struct Door {
+  struct Listener {
     tcp::acceptor acceptor;
-    std::vector<tcp::socket> plugs;
-    boost::asio::steady_timer pause;
-    bool waiting = false;
+    std::vector<tcp::socket> queue_fillers;
+    boost::asio::steady_timer retry_timer;
+    bool accept_pending = false;
   };
 
   void accept(size_t relay);
 
   Endpoints& owner_;
   State state_ = State::kClosed;
-  std::vector<std::unique_ptr<Door>> doors_;
+  std::vector<std::unique_ptr<Listener>> listeners_;
   std::vector<uint16_t> ports_;
 };
 
@@ -128,27 +128,28 @@
       : owner_(&owner), endpoint_(&endpoint), relay_(relay), socket_(std::move(socket)), timer_(owner.io_) {
     endpoint.connections.insert(this);
     ++owner.connections_;
-    over_cap_ = endpoint.settings.max_connections > 0 &&
-                endpoint.connections.size() > static_cast<size_t>(endpoint.settings.max_connections);
+    over_connection_limit_ =
+        endpoint.settings.max_connections > 0 &&
+        endpoint.connections.size() > static_cast<size_t>(endpoint.settings.max_connections);
   }
 
   void start() {
-    idle();
+    start_idle_timer();
     read();
   }
 
-  // The machine is gone, or back after it was silent.
+  // Used when the machine is lost, or when it is back after it was silent.
   void reset() {
     if (owner_ == nullptr) return;
     end_call(CallEnd::kReset, 0);
     Error ignored;
     socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
-    leave();
+    close();
   }
 
-  bool muted() const { return muted_; }
+  bool silent() const { return silent_; }
 
-  void orphan() {
+  void detach() {
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
@@ -158,7 +159,7 @@
  private:
   using Parser = http::request_parser<http::string_body>;
 
-  void leave() {
+  void close() {
     if (owner_ == nullptr) return;
     Error ignored;
     socket_.close(ignored);
@@ -168,52 +169,52 @@
     owner_ = nullptr;
   }
 
-  void end_call(CallEnd end, Time wait) {
+  void end_call(CallEnd end, Time retry_after) {
     if (call_ == 0) return;
     const uint64_t number = std::exchange(call_, 0);
-    --owner_->calls_out_;
-    --owner_->out_of_[static_cast<size_t>(relay_)];
-    owner_->witness_.on_call_ended(steady_now(), number, end, wait);
+    --owner_->calls_in_flight_;
+    --owner_->calls_by_relay_[static_cast<size_t>(relay_)];
+    owner_->observer_.on_call_ended(steady_now(), number, end, retry_after);
   }
 
-  void idle() {
-    timer_.expires_after(std::chrono::microseconds(owner_->limits_.idle_timeout));
+  void start_idle_timer() {
+    timer_.expires_after(std::chrono::microseconds(owner_->options_.idle_timeout));
     timer_.async_wait([self = shared_from_this()](const Error& error) {
       if (error || self->owner_ == nullptr || self->call_ != 0 || self->first_byte_ != 0) return;
       self->half_close();
     });
   }
 
-  // What is written to it from now on is read, so that it is known of, and ends as a reset.
+  // Calls that arrive from now on are read, so that they are reported, and end with a reset.
   void half_close() {
-    closing_ = true;
+    is_closing_ = true;
     Error ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    timer_.expires_after(std::chrono::microseconds(kLinger));
+    timer_.expires_after(std::chrono::microseconds(kCloseGrace));
     timer_.async_wait([self = shared_from_this()](const Error& error) {
-      if (!error && self->owner_ != nullptr) self->leave();
+      if (!error && self->owner_ != nullptr) self->close();
     });
   }
 
   void read() {
-    socket_.async_read_some(buffer_.prepare(kReadAtOnce),
+    socket_.async_read_some(buffer_.prepare(kReadChunkBytes),
                             [self = shared_from_this()](const Error& error, size_t count) {
                               if (self->owner_ == nullptr) return;
                               if (count == 0 || error) {
                                 self->end_call(CallEnd::kAbandoned, 0);
-                                return self->leave();
+                                return self->close();
                               }
                               self->buffer_.commit(count);
-                              self->came();
+                              self->on_input();
                               if (self->owner_ != nullptr) self->read();
                             });
   }
 
-  void came() {
+  void on_input() {
     const Time now = steady_now();
     if (first_byte_ == 0) first_byte_ = now;
-    if (call_ != 0 || answering_) {  // one at a time: what comes before the answer waits
-      if (buffer_.size() > kReadAtOnce + owner_->limits_.max_body_bytes) reset();
+    if (call_ != 0 || is_responding_) {  // one call at a time: input that arrives before the response waits
+      if (buffer_.size() > kReadChunkBytes + owner_->options_.max_body_bytes) reset();
       return;
     }
     parse(now);
@@ -223,14 +224,14 @@
     if (!parser_) {
       parser_.emplace();
       parser_->eager(true);
-      parser_->body_limit(owner_->limits_.max_body_bytes);
+      parser_->body_limit(owner_->options_.max_body_bytes);
     }
     Error error;
     while (!parser_->is_done() && buffer_.size() > 0) {
       const size_t taken = parser_->put(buffer_.data(), error);
       buffer_.consume(taken);
       if (error == http::error::need_more) return;
-      if (error) return answer("400 Bad Request", "Connection: close\r\n", {}, 0);
+      if (error) return write_response("400 Bad Request", "Connection: close\r\n", {}, 0);
       if (taken == 0) return;
     }
     if (!parser_->is_done()) return;
@@ -239,22 +240,22 @@
     const Time first = std::exchange(first_byte_, 0);
     if (request.method() == http::verb::get) return probe(now, view(request.target()));
     if (request.method() != http::verb::post || request.target() != "/events") {
-      return answer("404 Not Found", "", {}, 0);
+      return write_response("404 Not Found", "", {}, 0);
     }
     call(now, first, request);
   }
 
   void probe(Time now, std::string_view target) {
-    if (target != "/-/healthy" && target != "/-/load") return answer("404 Not Found", "", {}, 0);
+    if (target != "/-/healthy" && target != "/-/load") return write_response("404 Not Found", "", {}, 0);
     Partner& partner = owner_->partner(endpoint_->settings.destination);
-    const Fault trouble = partner.fault();
-    if (trouble == Fault::kSilent || trouble == Fault::kHang) {
-      muted_ = true;
-      return owner_->witness_.on_probe(now, relay_, endpoint_->settings.number, false);
+    const Fault fault = partner.fault();
+    if (fault == Fault::kSilent || fault == Fault::kHang) {
+      silent_ = true;
+      return owner_->observer_.on_probe(now, relay_, endpoint_->settings.number, false);
     }
     const bool ok = partner.probe(now) && !endpoint_->draining;
-    owner_->witness_.on_probe(now, relay_, endpoint_->settings.number, ok);
-    answer(ok ? "200 OK" : "503 Service Unavailable", "", {}, 0);
+    owner_->observer_.on_probe(now, relay_, endpoint_->settings.number, ok);
+    write_response(ok ? "200 OK" : "503 Service Unavailable", "", {}, 0);
   }
 
   void call(Time now, Time first, const http::request<http::string_body>& request) {
@@ -267,114 +268,117 @@
     call.body = hash_bytes(request.body());
     call.first_byte = first;
     call_ = call.number;
-    ++owner_->calls_out_;
-    const int out = ++owner_->out_of_[static_cast<size_t>(relay_)];
-    owner_->witness_.on_call(now, call);
-    if (closing_) {
+    ++owner_->calls_in_flight_;
+    const int out = ++owner_->calls_by_relay_[static_cast<size_t>(relay_)];
+    owner_->observer_.on_call(now, call);
+    if (is_closing_) {
       end_call(CallEnd::kReset, 0);
-      return leave();
+      return close();
     }
     Partner& partner = owner_->partner(endpoint_->settings.destination);
-    const bool dead = partner.fault() == Fault::kSilent;
-    if (!dead) {
-      if (owner_->limits_.max_calls_per_relay > 0 && out > owner_->limits_.max_calls_per_relay) {
-        return answer("503 Service Unavailable", "X-Egress-Full: 1\r\n", CallEnd::kRefused, 0);
+    const bool silent_fault = partner.fault() == Fault::kSilent;
+    if (!silent_fault) {
+      if (owner_->options_.max_calls_per_relay > 0 && out > owner_->options_.max_calls_per_relay) {
+        return write_response("503 Service Unavailable", "X-Egress-Full: 1\r\n", CallEnd::kRefused, 0);
       }
-      if (const auto status = owner_->gate_ ? owner_->gate_(call.id) : std::nullopt) {
-        return answer(*status == 410 ? "410 Gone" : "504 Gateway Timeout", "",
-                      *status == 410 ? CallEnd::kMessageOver : CallEnd::kRefused, 0);
+      if (const auto status = owner_->early_status_ ? owner_->early_status_(call.id) : std::nullopt) {
+        return write_response(*status == 410 ? "410 Gone" : "504 Gateway Timeout", "",
+                              *status == 410 ? CallEnd::kMessageOver : CallEnd::kRefused, 0);
       }
-      if (endpoint_->draining || over_cap_) {
-        return answer("503 Service Unavailable", over_cap_ ? "Connection: close\r\n" : "", CallEnd::kRefused,
-                      0);
+      if (endpoint_->draining || over_connection_limit_) {
+        return write_response("503 Service Unavailable",
+                              over_connection_limit_ ? "Connection: close\r\n" : "", CallEnd::kRefused, 0);
       }
     }
-    const PartnerResponse verdict = partner.handle_call(now);
-    if (verdict.kind == PartnerResponse::Kind::kNone) {
-      muted_ = true;
+    const PartnerResponse response = partner.handle_call(now);
+    if (response.kind == PartnerResponse::Kind::kNone) {
+      silent_ = true;
       return;
     }
-    if (verdict.status == 429 || verdict.status == 503 || !verdict.executes) return settle(verdict);
-    run_ = verdict;
+    if (response.status == 429 || response.status == 503 || !response.executes)
+      return send_response(response);
+    response_ = response;
     key_ = call.key;
-    came_ = now;
-    if (verdict.executes_at <= now) return begin_run(call.number);
-    timer_.expires_at(at_time(verdict.executes_at));
+    arrived_ = now;
+    if (response.executes_at <= now) return begin_execution(call.number);
+    timer_.expires_at(at_time(response.executes_at));
     timer_.async_wait([self = shared_from_this(), number = call.number](const Error& error) {
-      if (!error && self->owner_ != nullptr) self->begin_run(number);
+      if (!error && self->owner_ != nullptr) self->begin_execution(number);
     });
   }
 
-  void begin_run(uint64_t number) {
+  void begin_execution(uint64_t number) {
     Partner& partner = owner_->partner(endpoint_->settings.destination);
     if (partner.fault() == Fault::kSilent || partner.fault() == Fault::kHang) {
-      muted_ = true;  // it stopped with this call in hand
+      silent_ = true;  // the partner went silent before it executed this call
       return;
     }
-    // A host begins a call when its last byte has come: a place that it waits for does not age its key.
-    owner_->witness_.on_executed(steady_now(), number, partner.execute(came_, key_));
-    timer_.expires_at(at_time(run_.at));
+    // The key's window starts when the call's last byte arrives; the wait for a free place does not count.
+    owner_->observer_.on_executed(steady_now(), number, partner.execute(arrived_, key_));
+    timer_.expires_at(at_time(response_.at));
     timer_.async_wait([self = shared_from_this(), number](const Error& error) {
       if (error || self->owner_ == nullptr || self->call_ != number) return;
-      const Fault trouble = self->owner_->partner(self->endpoint_->settings.destination).fault();
-      if (trouble == Fault::kSilent || trouble == Fault::kHang) {
-        self->muted_ = true;
+      const Fault fault = self->owner_->partner(self->endpoint_->settings.destination).fault();
+      if (fault == Fault::kSilent || fault == Fault::kHang) {
+        self->silent_ = true;
         return;
       }
-      self->settle(self->run_);
+      self->send_response(self->response_);
     });
   }
 
-  void settle(const PartnerResponse& verdict) {
-    if (verdict.kind == PartnerResponse::Kind::kReset) return reset();
-    if (verdict.kind == PartnerResponse::Kind::kMalformed) return spoil();
-    switch (verdict.status) {
+  void send_response(const PartnerResponse& response) {
+    if (response.kind == PartnerResponse::Kind::kReset) return reset();
+    if (response.kind == PartnerResponse::Kind::kMalformed) return write_malformed_response();
+    switch (response.status) {
       case 200:
-        return answer("200 OK", "", CallEnd::kDelivered, 0);
+        return write_response("200 OK", "", CallEnd::kDelivered, 0);
       case 429: {
         char head[64];
-        const Time wait = verdict.retry_after / 1000 * 1000;
-        std::snprintf(head, sizeof head, "Retry-After: %.3f\r\n", static_cast<double>(wait) / 1e6);
-        return answer("429 Too Many Requests", head, CallEnd::kRefused, wait);
+        const Time retry_after = response.retry_after / 1000 * 1000;
+        std::snprintf(head, sizeof head, "Retry-After: %.3f\r\n", static_cast<double>(retry_after) / 1e6);
+        return write_response("429 Too Many Requests", head, CallEnd::kRefused, retry_after);
       }
       case 503:
-        return answer("503 Service Unavailable", "", CallEnd::kRefused, 0);
+        return write_response("503 Service Unavailable", "", CallEnd::kRefused, 0);
       default:
-        return answer("500 Internal Server Error", "", CallEnd::kError, 0);
+        return write_response("500 Internal Server Error", "", CallEnd::kError, 0);
     }
   }
 
-  // No answer, though bytes come. The connection stays open and is of no further use.
-  void spoil() {
-    static const std::array<std::string, 4> kSpoilt = {
+  // Writes bytes that are not an HTTP response. The connection stays open and serves no further call.
+  void write_malformed_response() {
+    static const std::array<std::string, 4> kMalformedResponses = {
         "\x16\x03\x01 noise, and no line of HTTP", "HTTP/1.1 5\r\n\r\n",
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 99\r\n\r\ncut",
         "HTTP/1.1 500 Error\r\nX-Head: that does not"};
-    out_ = kSpoilt[static_cast<size_t>(owner_->chance_() * 4)];
-    muted_ = true;
+    out_ = kMalformedResponses[static_cast<size_t>(owner_->random_() * 4)];
+    silent_ = true;
     boost::asio::async_write(socket_, boost::asio::buffer(out_),
                              [self = shared_from_this()](const Error&, size_t) {
                                if (self->owner_ != nullptr) self->end_call(CallEnd::kMalformed, 0);
                              });
   }
 
-  void answer(const char* status, const char* heads, std::optional<CallEnd> end, Time wait) {
+  void write_response(const char* status, const char* extra_headers, std::optional<CallEnd> end,
+                      Time retry_after) {
     out_ = "HTTP/1.1 ";
     out_ += status;
     out_ += "\r\n";
-    out_ += heads;
+    out_ += extra_headers;
     out_ += "Content-Length: 0\r\n\r\n";
-    answering_ = true;
-    const bool last = std::string_view(heads).find("close") != std::string_view::npos;
-    boost::asio::async_write(socket_, boost::asio::buffer(out_),
-                             [self = shared_from_this(), end, wait, last](const Error& error, size_t) {
-                               if (self->owner_ == nullptr) return;
-                               self->answering_ = false;
-                               if (end) self->end_call(error ? CallEnd::kAbandoned : *end, wait);
-                               if (error || last) return self->leave();
-                               self->idle();
-                               if (self->buffer_.size() > 0) self->parse(steady_now());
-                             });
+    is_responding_ = true;
+    const bool close_after = std::string_view(extra_headers).find("close") != std::string_view::npos;
+    boost::asio::async_write(
+        socket_, boost::asio::buffer(out_),
+        [self = shared_from_this(), end, retry_after, close_after](const Error& error, size_t) {
+          if (self->owner_ == nullptr) return;
+          self->is_responding_ = false;
+          if (end) self->end_call(error ? CallEnd::kAbandoned : *end, retry_after);
+          if (error || close_after) return self->close();
+          self->start_idle_timer();
+          if (self->buffer_.size() > 0) self->parse(steady_now());
+        });
   }
 
   Endpoints* owner_;
@@ -385,23 +389,23 @@
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   std::string out_;
-  Time first_byte_ = 0;  // of the request that is being read; 0: none
-  uint64_t call_ = 0;    // that is out; 0: none
+  Time first_byte_ = 0;  // arrival of the first byte of the request being read; 0: none
+  uint64_t call_ = 0;    // the call in progress; 0: none
   uint64_t key_ = 0;
-  Time came_ = 0;  // its last byte
-  PartnerResponse run_;
-  bool answering_ = false;
-  bool closing_ = false;
-  bool muted_ = false;  // a call was swallowed: nothing more will come
-  bool over_cap_ = false;
+  Time arrived_ = 0;  // when the last byte of the call arrived
+  PartnerResponse response_;
+  bool is_responding_ = false;
+  bool is_closing_ = false;
+  bool silent_ = false;  // a call was left without a response, and none will follow
+  bool over_connection_limit_ = false;
 };
 
 void Endpoints::Site::accept(size_t relay) {
-  Door& door = *doors_[relay];
-  door.waiting = true;
-  door.acceptor.async_accept([this, relay](const Error& error, tcp::socket socket) {
-    Door& mine = *doors_[relay];
-    mine.waiting = false;
+  Listener& listener = *listeners_[relay];
+  listener.accept_pending = true;
+  listener.acceptor.async_accept([this, relay](const Error& error, tcp::socket socket) {
+    Listener& own_listener = *listeners_[relay];
+    own_listener.accept_pending = false;
     if (state_ != State::kListening) return;
     if (!error && endpoint != nullptr) {
       Error ignored;
@@ -409,11 +413,11 @@
       std::make_shared<Connection>(owner_, *endpoint, static_cast<int>(relay), std::move(socket))->start();
     }
     if (!error || error == boost::asio::error::operation_aborted) return accept(relay);
-    mine.waiting = true;  // out of descriptors: an accept at once would spin
-    mine.pause.expires_after(std::chrono::milliseconds(50));
-    mine.pause.async_wait([this, relay](const Error& stopped) {
+    own_listener.accept_pending = true;  // out of descriptors: accepting again at once would be a busy loop
+    own_listener.retry_timer.expires_after(std::chrono::milliseconds(50));
+    own_listener.retry_timer.async_wait([this, relay](const Error& stopped) {
       if (stopped) return;
-      doors_[relay]->waiting = false;
+      listeners_[relay]->accept_pending = false;
       if (state_ == State::kListening) accept(relay);
     });
   });
@@ -421,30 +425,31 @@
 
 // ---- All of them ----
 
-Endpoints::Endpoints(boost::asio::io_context& io, Options limits, Observer& witness,
-                     std::function<double()> chance, EarlyStatus gate)
+Endpoints::Endpoints(boost::asio::io_context& io, Options options, Observer& observer,
+                     std::function<double()> random, EarlyStatus early_status)
     : io_(io),
-      limits_(limits),
-      witness_(witness),
-      chance_(std::move(chance)),
-      gate_(std::move(gate)),
-      out_of_(static_cast<size_t>(limits.relays), 0) {}
+      options_(options),
+      observer_(observer),
+      random_(std::move(random)),
+      early_status_(std::move(early_status)),
+      calls_by_relay_(static_cast<size_t>(options.relays), 0) {}
 
 Endpoints::~Endpoints() {
   for (const auto& [number, endpoint] : endpoints_) {
-    for (Connection* connection : endpoint->connections) connection->orphan();
+    for (Connection* connection : endpoint->connections) connection->detach();
   }
 }
 
 void Endpoints::add_partner(int destination, PartnerSettings settings) {
   settings.destination = destination;
-  partners_[destination] = std::make_unique<Partner>(settings, chance_);
+  partners_[destination] = std::make_unique<Partner>(settings, random_);
 }
 
 void Endpoints::open(const EndpointSettings& settings, std::optional<int> at_site_of) {
   Site* site = nullptr;
-  if (at_site_of && sites_of_.contains(*at_site_of) && sites_of_[*at_site_of]->endpoint == nullptr) {
-    site = sites_of_[*at_site_of];
+  if (at_site_of && site_by_endpoint_.contains(*at_site_of) &&
+      site_by_endpoint_[*at_site_of]->endpoint == nullptr) {
+    site = site_by_endpoint_[*at_site_of];
   } else {
     sites_.push_back(std::make_unique<Site>(*this));
     site = sites_.back().get();
@@ -453,13 +458,13 @@
   endpoint->settings = settings;
   endpoint->site = site;
   site->endpoint = endpoint.get();
-  sites_of_[settings.number] = site;
-  const Fault trouble = trouble_of(*endpoint);
+  site_by_endpoint_[settings.number] = site;
+  const Fault fault = fault_of(*endpoint);
   endpoints_[settings.number] = std::move(endpoint);
-  if (trouble == Fault::kSilent) {
+  if (fault == Fault::kSilent) {
     site->listen();
-    site->plug();
-  } else if (trouble != Fault::kConnectionRefused) {
+    site->block_connects();
+  } else if (fault != Fault::kConnectionRefused) {
     site->listen();
   }
 }
@@ -481,18 +486,20 @@
   endpoints_.erase(it);
 }
 
-uint16_t Endpoints::port(int endpoint, int relay) const { return sites_of_.at(endpoint)->port(relay); }
+uint16_t Endpoints::port(int endpoint, int relay) const {
+  return site_by_endpoint_.at(endpoint)->port(relay);
+}
 
-Fault Endpoints::trouble_of(const Endpoint& endpoint) const {
+Fault Endpoints::fault_of(const Endpoint& endpoint) const {
   return partners_.at(endpoint.settings.destination)->fault();
 }
 
-void Endpoints::begin_fault(int destination, Fault trouble, Time until, double amount, bool tells_wait) {
-  partner(destination).begin_fault(trouble, steady_now(), until, amount, tells_wait);
+void Endpoints::begin_fault(int destination, Fault fault, Time until, double amount, bool sends_retry_after) {
+  partner(destination).begin_fault(fault, steady_now(), until, amount, sends_retry_after);
   for (const auto& [number, endpoint] : endpoints_) {
     if (endpoint->settings.destination != destination) continue;
-    if (trouble == Fault::kSilent) endpoint->site->plug();
-    if (trouble != Fault::kConnectionRefused) continue;
+    if (fault == Fault::kSilent) endpoint->site->block_connects();
+    if (fault != Fault::kConnectionRefused) continue;
     endpoint->site->close();
     while (!endpoint->connections.empty()) {
       const auto connection = (*endpoint->connections.begin())->shared_from_this();
@@ -505,11 +512,11 @@
   partner(destination).end_fault(steady_now());
   for (const auto& [number, endpoint] : endpoints_) {
     if (endpoint->settings.destination != destination) continue;
-    std::vector<std::shared_ptr<Connection>> swallowed;
+    std::vector<std::shared_ptr<Connection>> unanswered;
     for (Connection* connection : endpoint->connections) {
-      if (connection->muted()) swallowed.push_back(connection->shared_from_this());
+      if (connection->silent()) unanswered.push_back(connection->shared_from_this());
     }
-    for (const auto& connection : swallowed) connection->reset();
+    for (const auto& connection : unanswered) connection->reset();
     endpoint->site->listen();
   }
 }
@@ -517,10 +524,10 @@
 void Endpoints::hold_connections(int destination, bool hold) {
   for (const auto& [number, endpoint] : endpoints_) {
     if (endpoint->settings.destination != destination) continue;
-    const Fault trouble = trouble_of(*endpoint);
-    if (trouble == Fault::kSilent || trouble == Fault::kConnectionRefused) continue;
+    const Fault fault = fault_of(*endpoint);
+    if (fault == Fault::kSilent || fault == Fault::kConnectionRefused) continue;
     if (hold) {
-      endpoint->site->plug();
+      endpoint->site->block_connects();
     } else {
       endpoint->site->listen();
     }
--- a/standins/front.cpp
+++ b/standins/front.cpp
@@ -9,10 +9,11 @@
 
 using Error = boost::system::error_code;
 
-constexpr Time kNoticeDeath = 200 * kMillisecond;  // until it is known whether a process ended or only closed
-constexpr size_t kMostCrowd = 4000;
+// Until it is certain whether the process ended or only closed the connection.
+constexpr Time kExitDetectionDelay = 200 * kMillisecond;
+constexpr size_t kMaxIdleClients = 4000;
 
-void bulk(std::string& out, std::string_view word) {
+void append_bulk_string(std::string& out, std::string_view word) {
   out += '$';
   out += std::to_string(word.size());
   out += "\r\n";
@@ -22,14 +23,14 @@
 
 }  // namespace
 
-std::string put_request(uint64_t id, const std::string& facts, const std::string& body) {
+std::string put_request(uint64_t id, const std::string& attributes, const std::string& body) {
   std::string out = "*5\r\n";
-  out.reserve(body.size() + facts.size() + 96);
-  bulk(out, "MSG.PUT");
-  bulk(out, "0000000000000000");
-  bulk(out, hex(id));
-  bulk(out, facts);
-  bulk(out, body);
+  out.reserve(body.size() + attributes.size() + 96);
+  append_bulk_string(out, "MSG.PUT");
+  append_bulk_string(out, "0000000000000000");
+  append_bulk_string(out, hex(id));
+  append_bulk_string(out, attributes);
+  append_bulk_string(out, body);
   return out;
 }
 
@@ -40,33 +41,33 @@
 
   int relay() const { return relay_; }
 
-  void begin(const Submission& handing, std::string request, uint64_t body, bool once_more) {
-    handing_ = handing;
+  void start(const Submission& submission, std::string request, uint64_t body, bool is_retry) {
+    submission_ = submission;
     request_ = std::move(request);
     body_ = body;
-    once_more_ = once_more;
-    busy_ = true;
-    ++owner_->waiting_;
-    timer_.expires_after(std::chrono::microseconds(owner_->limits_.reply_timeout));
+    is_retry_ = is_retry;
+    is_busy_ = true;
+    ++owner_->pending_replies_;
+    timer_.expires_after(std::chrono::microseconds(owner_->options_.reply_timeout));
     timer_.async_wait([self = shared_from_this()](const Error& error) {
-      if (error || self->owner_ == nullptr || !self->busy_) return;
-      if (!self->open_) return self->unreached();
+      if (error || self->owner_ == nullptr || !self->is_busy_) return;
+      if (!self->is_connected_) return self->on_connect_failed();
       self->give_up(NoReplyReason::kTimeout);
     });
-    if (open_) return write();
+    if (is_connected_) return write();
     socket_.async_connect(owner_->relays_[static_cast<size_t>(relay_)],
                           [self = shared_from_this()](const Error& error) {
-                            if (self->owner_ == nullptr || !self->busy_) return;
-                            if (error) return self->unreached();
+                            if (self->owner_ == nullptr || !self->is_busy_) return;
+                            if (error) return self->on_connect_failed();
                             Error ignored;
                             self->socket_.set_option(tcp::no_delay(true), ignored);
-                            self->open_ = true;
+                            self->is_connected_ = true;
                             self->write();
                             self->read();
                           });
   }
 
-  void orphan() {
+  void detach() {
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
@@ -75,101 +76,103 @@
 
  private:
   void write() {
-    if (!once_more_) owner_->witness_.on_submitted(steady_now(), handing_, body_);
+    if (!is_retry_) owner_->observer_.on_submitted(steady_now(), submission_, body_);
     boost::asio::async_write(
         socket_, boost::asio::buffer(request_),
-        [self = shared_from_this()](const Error&, size_t) {});  // its end shows in the read
+        [self = shared_from_this()](const Error&, size_t) {});  // errors show in the read
   }
 
   void read() {
     socket_.async_read_some(boost::asio::buffer(bytes_),
                             [self = shared_from_this()](const Error& error, size_t count) {
                               if (self->owner_ == nullptr) return;
-                              if (error || count == 0) return self->closed();
-                              self->line_.append(self->bytes_.data(), count);
-                              self->answered();
+                              if (error || count == 0) return self->on_connection_closed();
+                              self->received_.append(self->bytes_.data(), count);
+                              self->parse_reply();
                               if (self->owner_ != nullptr) self->read();
                             });
   }
 
-  void answered() {
-    const size_t end = line_.find("\r\n");
+  void parse_reply() {
+    const size_t end = received_.find("\r\n");
     if (end == std::string::npos) return;
-    std::string line = line_.substr(0, end);
-    size_t whole = end + 2;
-    if (line.starts_with("$")) {  // a bulk string: its bytes follow
+    std::string line = received_.substr(0, end);
+    size_t reply_size = end + 2;
+    if (line.starts_with("$")) {  // bulk string: its bytes follow
       size_t length = 0;
       std::from_chars(line.data() + 1, line.data() + line.size(), length);
-      whole += length + 2;
-      if (line_.size() < whole) return;
+      reply_size += length + 2;
+      if (received_.size() < reply_size) return;
     }
-    line_.erase(0, whole);
-    if (!busy_) return leave();  // an answer to nothing
+    received_.erase(0, reply_size);
+    if (!is_busy_) return close();  // a reply without a request
     const Time now = steady_now();
-    const uint64_t id = handing_.id;
-    rest();
-    Observer& witness = owner_->witness_;
+    const uint64_t id = submission_.id;
+    finish_request();
+    Observer& observer = owner_->observer_;
     const auto owner = owner_;
-    if (line_.empty() &&
-        owner->idle_[static_cast<size_t>(relay_)].size() < owner->limits_.max_idle_connections) {
+    if (received_.empty() &&
+        owner->idle_[static_cast<size_t>(relay_)].size() < owner->options_.max_idle_connections) {
       owner->idle_[static_cast<size_t>(relay_)].push_back(shared_from_this());
     } else {
-      leave();
+      close();
     }
-    if (line.starts_with("+") || line.starts_with("$")) return witness.on_accepted(now, id);
-    if (!line.starts_with("-BUSY")) return witness.on_failed(now, id, line);
+    if (line.starts_with("+") || line.starts_with("$")) return observer.on_accepted(now, id);
+    if (!line.starts_with("-BUSY")) return observer.on_failed(now, id, line);
     int64_t ms = 0;
     if (line.size() > 6) std::from_chars(line.data() + 6, line.data() + line.size(), ms);
-    witness.on_refused(now, id, ms * kMillisecond);
+    observer.on_refused(now, id, ms * kMillisecond);
   }
 
-  void rest() {
-    busy_ = false;
-    --owner_->waiting_;
+  void finish_request() {
+    is_busy_ = false;
+    --owner_->pending_replies_;
     timer_.cancel();
     std::string().swap(request_);
   }
 
-  // A relay may close between requests. One that crosses the close is sent once more, on a new connection.
-  void closed() {
-    if (!busy_) return leave();
+  // A relay may close idle connections. A request that was on its way then is sent once more on a new
+  // connection.
+  void on_connection_closed() {
+    if (!is_busy_) return close();
     LoadGenerator* owner = owner_;
-    const Submission handing = handing_;
+    const Submission submission = submission_;
     std::string request = std::move(request_);
-    const bool again = once_more_;
+    const bool is_retry = is_retry_;
     const uint64_t body = body_;
-    rest();
-    leave();
-    if (!again) return owner->send(handing, request, body, true);
+    finish_request();
+    close();
+    if (!is_retry) return owner->send(submission, request, body, true);
     auto timer = std::make_shared<boost::asio::steady_timer>(owner->io_);
-    timer->expires_after(std::chrono::microseconds(kNoticeDeath));
-    timer->async_wait([owner, handing, timer, alive = owner->alive_](const Error& error) {
+    timer->expires_after(std::chrono::microseconds(kExitDetectionDelay));
+    timer->async_wait([owner, submission, timer, alive = owner->alive_](const Error& error) {
       if (error || !*alive) return;
-      owner->witness_.on_no_reply(
-          steady_now(), handing.id,
-          owner->down_(handing.relay) ? NoReplyReason::kRelayExited : NoReplyReason::kConnectionClosed);
+      owner->observer_.on_no_reply(
+          steady_now(), submission.id,
+          owner->is_down_(submission.relay) ? NoReplyReason::kRelayExited : NoReplyReason::kConnectionClosed);
     });
   }
 
-  void unreached() {
+  void on_connect_failed() {
     LoadGenerator* owner = owner_;
-    const Submission handing = handing_;
-    const bool again = once_more_;
-    rest();
-    leave();
-    if (again) return owner->witness_.on_no_reply(steady_now(), handing.id, NoReplyReason::kRelayExited);
-    owner->witness_.on_connect_failed(steady_now(), handing);
+    const Submission submission = submission_;
+    const bool is_retry = is_retry_;
+    finish_request();
+    close();
+    if (is_retry)
+      return owner->observer_.on_no_reply(steady_now(), submission.id, NoReplyReason::kRelayExited);
+    owner->observer_.on_connect_failed(steady_now(), submission);
   }
 
-  void give_up(NoReplyReason how) {
+  void give_up(NoReplyReason reason) {
     LoadGenerator* owner = owner_;
-    const uint64_t id = handing_.id;
-    rest();
-    leave();
-    owner->witness_.on_no_reply(steady_now(), id, how);
+    const uint64_t id = submission_.id;
+    finish_request();
+    close();
+    owner->observer_.on_no_reply(steady_now(), id, reason);
   }
 
-  void leave() {
+  void close() {
     if (owner_ == nullptr) return;
     LoadGenerator* owner = std::exchange(owner_, nullptr);
     Error ignored;
@@ -183,75 +186,75 @@
   int relay_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  Submission handing_;
+  Submission submission_;
   std::string request_;
   uint64_t body_ = 0;
-  std::string line_;
+  std::string received_;
   std::array<char, 512> bytes_;
-  bool open_ = false;
-  bool busy_ = false;
-  bool once_more_ = false;
+  bool is_connected_ = false;
+  bool is_busy_ = false;
+  bool is_retry_ = false;
 };
 
-LoadGenerator::LoadGenerator(boost::asio::io_context& io, std::vector<tcp::endpoint> relays, Options limits,
-                             Observer& witness, IsDown down)
+LoadGenerator::LoadGenerator(boost::asio::io_context& io, std::vector<tcp::endpoint> relays, Options options,
+                             Observer& observer, IsDown is_down)
     : io_(io),
       relays_(std::move(relays)),
-      used_(relays_.size(), false),
-      limits_(limits),
-      witness_(witness),
-      down_(std::move(down)),
+      enabled_(relays_.size(), false),
+      options_(options),
+      observer_(observer),
+      is_down_(std::move(is_down)),
       idle_(relays_.size()) {}
 
 LoadGenerator::~LoadGenerator() {
   *alive_ = false;
-  for (const auto& connection : connections_) connection->orphan();
+  for (const auto& connection : connections_) connection->detach();
 }
 
-void LoadGenerator::set_enabled(int relay, bool used) { used_[static_cast<size_t>(relay)] = used; }
+void LoadGenerator::set_enabled(int relay, bool enabled) { enabled_[static_cast<size_t>(relay)] = enabled; }
 
 int LoadGenerator::pick_relay() {
-  for (size_t i = 0; i < used_.size(); ++i) {
-    turn_ = (turn_ + 1) % used_.size();
-    if (used_[turn_]) return static_cast<int>(turn_);
+  for (size_t i = 0; i < enabled_.size(); ++i) {
+    last_picked_ = (last_picked_ + 1) % enabled_.size();
+    if (enabled_[last_picked_]) return static_cast<int>(last_picked_);
   }
   return -1;
 }
 
-void LoadGenerator::submit(const Submission& handing, const std::string& facts, std::string body) {
-  send(handing, put_request(handing.id, facts, body), hash_bytes(body), false);
+void LoadGenerator::submit(const Submission& submission, const std::string& attributes, std::string body) {
+  send(submission, put_request(submission.id, attributes, body), hash_bytes(body), false);
 }
 
-void LoadGenerator::send(const Submission& handing, const std::string& request, uint64_t body,
-                         bool once_more) {
-  auto& idle = idle_[static_cast<size_t>(handing.relay)];
+void LoadGenerator::send(const Submission& submission, const std::string& request, uint64_t body,
+                         bool is_retry) {
+  auto& idle = idle_[static_cast<size_t>(submission.relay)];
   std::shared_ptr<Connection> connection;
-  if (!idle.empty() && !once_more) {
+  if (!idle.empty() && !is_retry) {
     connection = idle.back();
     idle.pop_back();
   } else {
-    connection = std::make_shared<Connection>(*this, handing.relay);
+    connection = std::make_shared<Connection>(*this, submission.relay);
     connections_.insert(connection);
-    ++opened_;
+    ++connections_opened_;
   }
-  connection->begin(handing, request, body, once_more);
+  connection->start(submission, request, body, is_retry);
 }
 
-void LoadGenerator::ping(int relay, std::function<void(bool)> answer) {
+void LoadGenerator::ping(int relay, std::function<void(bool)> on_reply) {
   struct Ping {
     explicit Ping(boost::asio::io_context& io) : socket(io), timer(io) {}
     tcp::socket socket;
     boost::asio::steady_timer timer;
     std::array<char, 64> bytes{};
-    bool over = false;
+    bool finished = false;
   };
   auto ping = std::make_shared<Ping>(io_);
-  const auto end = [ping, answer = std::move(answer)](bool good) {
-    if (std::exchange(ping->over, true)) return;
+  const auto end = [ping, on_reply = std::move(on_reply)](bool ok) {
+    if (std::exchange(ping->finished, true)) return;
     ping->timer.cancel();
-    answer(good);
+    on_reply(ok);
   };
-  ping->timer.expires_after(std::chrono::microseconds(limits_.reply_timeout));
+  ping->timer.expires_after(std::chrono::microseconds(options_.reply_timeout));
   ping->timer.async_wait([ping, end](const Error& error) {
     if (error) return;
     Error ignored;
@@ -274,14 +277,15 @@
 
 // ---- Silent clients ----
 
-IdleClients::IdleClients(boost::asio::io_context& io, tcp::endpoint relay, double per_second, Time until)
+IdleClients::IdleClients(boost::asio::io_context& io, tcp::endpoint relay, double connects_per_second,
+                         Time until)
     : io_(io),
       relay_(std::move(relay)),
-      gap_(static_cast<Time>(1e6 / std::max(1.0, per_second))),
-      next_(steady_now()),
+      interval_(static_cast<Time>(1e6 / std::max(1.0, connects_per_second))),
+      next_connect_(steady_now()),
       until_(until),
       timer_(io) {
-  more();
+  open_connections();
 }
 
 IdleClients::~IdleClients() {
@@ -291,18 +295,18 @@
   }
 }
 
-void IdleClients::more() {
+void IdleClients::open_connections() {
   const Time now = steady_now();
   if (now >= until_) return sockets_.clear();
-  for (; next_ <= now; next_ += gap_) {
-    if (sockets_.size() >= kMostCrowd) sockets_.erase(sockets_.begin());
+  for (; next_connect_ <= now; next_connect_ += interval_) {
+    if (sockets_.size() >= kMaxIdleClients) sockets_.erase(sockets_.begin());
     auto socket = std::make_shared<tcp::socket>(io_);
     sockets_.push_back(socket);
     socket->async_connect(relay_, [socket](const Error&) {});
   }
-  timer_.expires_at(at_time(next_));
+  timer_.expires_at(at_time(next_connect_));
   timer_.async_wait([this](const Error& error) {
-    if (!error) more();
+    if (!error) open_connections();
   });
 }
 
--- a/standins/partner.h
+++ b/standins/partner.h
@@ -1,5 +1,5 @@
-// A partner system as a model without I/O: how many calls it serves at once, its limit, how it comes back
-// cold after an outage, what it remembers of idempotency keys. The sockets in front of it are endpoints'.
+// Model of a partner system without I/O: its concurrency, rate limit, slow start after an outage, and memory
+// of idempotency keys. The sockets in front of it belong to Endpoints.
 #pragma once
 
 #include <deque>
@@ -15,19 +15,19 @@
 
 struct PartnerSettings {
   int destination = 0;
-  Time mean_service_time = 50 * kMillisecond;  // mean time of a call when warm
+  Time mean_service_time = 50 * kMillisecond;  // mean duration of a call when warm
   double cv = 0.5;
-  int concurrency = 4;                // calls served at once
-  Time max_queue_wait = kSecond / 2;  // a call that would wait longer for a place is turned away
+  int concurrency = 4;                // calls served concurrently
+  Time max_queue_wait = kSecond / 2;  // a call that would wait longer for a free place is refused
   enum class Limit { kNone, kRate, kWindow } limit = Limit::kNone;
-  double limit_rate = 0;                      // calls a second
-  Time limit_window = kSecond;                // of a windowed limit
-  double retry_after_share = 0.5;             // share of the refusals above the limit or while shut
-  Time min_retry_after = 200 * kMillisecond;  // told by a plain rate
+  double limit_rate = 0;           // calls per second
+  Time limit_window = kSecond;     // length of a window of a windowed limit
+  double retry_after_share = 0.5;  // fraction of refusals with a Retry-After, above the limit or while shut
+  Time min_retry_after = 200 * kMillisecond;  // lowest Retry-After of a plain rate limit
   Time max_retry_after = 700 * kMillisecond;
   double error_rate = 0;
   Time key_window = 15 * kSecond;
-  Time slow_start = 12 * kSecond;  // from an outage's end until it is warm
+  Time slow_start = 12 * kSecond;  // duration of the slow start after an outage
   double start_capacity = 0.21;
   double overload_factor = 2;
   Time overload_window = 3 * kSecond;
@@ -48,53 +48,55 @@
 struct PartnerResponse {
   enum class Kind { kResponse, kNone, kReset, kMalformed } kind = Kind::kResponse;
   int status = 200;
-  Time at = 0;           // when it is answered or broken off
-  Time retry_after = 0;  // told with 429
+  Time at = 0;           // when the response is sent or the connection is reset
+  Time retry_after = 0;  // the Retry-After of a 429
   bool executes = false;
   Time executes_at = 0;
 };
 
 class Partner {
  public:
-  using Chance = std::function<double()>;  // evenly over [0, 1)
+  using Chance = std::function<double()>;  // uniformly distributed over [0, 1)
 
-  Partner(PartnerSettings settings, Chance chance);
+  Partner(PartnerSettings settings, Chance random);
 
-  // A call whose last byte has come.
+  // Decides the outcome of a call whose last byte arrived at `now`.
   PartnerResponse handle_call(Time now);
-  // It runs: false where its key was remembered when it came, so that the repeat is dropped.
-  bool execute(Time came, uint64_t key);
-  bool probe(Time now);  // true: it says that it is well
+  // Executes a call whose last byte came at `arrived`. Returns false if its key was already known then, so
+  // that it has no effect.
+  bool execute(Time arrived, uint64_t key);
+  bool probe(Time now);  // true: the partner reports itself healthy
 
-  void begin_fault(Fault trouble, Time now, Time until, double amount, bool tells_wait);
+  void begin_fault(Fault fault, Time now, Time fault_end, double fault_amount, bool sends_retry_after);
   void end_fault(Time now);
-  Fault fault() const { return trouble_; }
-  bool overloaded() const { return fallen_; }
-  double capacity() const;                // calls a second when warm
-  double capacity_share(Time now) const;  // share of it that it has now
+  Fault fault() const { return fault_; }
+  bool overloaded() const { return overloaded_; }
+  double capacity() const;                // calls per second when warm
+  double capacity_share(Time now) const;  // current fraction of capacity()
   const PartnerSettings& settings() const { return settings_; }
 
  private:
-  bool weigh(Time now);  // false: it fell over
-  bool take_limit(Time now, Time& free_at);
-  PartnerResponse turn_away(Time now, Time wait);
+  // Counts a call or probe during the slow start. Returns false if the partner is overloaded and down.
+  bool count_load(Time now);
+  bool take_from_limit(Time now, Time& free_at);
+  PartnerResponse refuse(Time now, Time retry_after);
   double lognormal(double cv);
 
   PartnerSettings settings_;
-  Chance chance_;
-  Fault trouble_ = Fault::kNone;
-  Time until_ = 0;
-  double amount_ = 0;
-  bool tells_wait_ = false;
-  bool fallen_ = false;
-  Time back_since_ = 0;  // 0: no outage yet
-  std::deque<Time> load_;
+  Chance random_;
+  Fault fault_ = Fault::kNone;
+  Time fault_end_ = 0;
+  double fault_amount_ = 0;
+  bool sends_retry_after_ = false;
+  bool overloaded_ = false;
+  Time recovery_start_ = 0;  // 0: there was no outage yet
+  std::deque<Time> recent_load_;
   double tokens_ = 0;
-  Time filled_ = 0;
-  int64_t span_ = -1;
-  int taken_ = 0;
-  std::priority_queue<Time, std::vector<Time>, std::greater<>> free_at_;
-  std::unordered_map<uint64_t, Time> keys_;
+  Time tokens_updated_ = 0;
+  int64_t window_index_ = -1;
+  int accepted_in_window_ = 0;
+  std::priority_queue<Time, std::vector<Time>, std::greater<>> worker_free_at_;
+  std::unordered_map<uint64_t, Time> key_arrivals_;
   std::deque<std::pair<Time, uint64_t>> key_order_;
 };
 
--- a/standins/process.cpp
+++ b/standins/process.cpp
@@ -16,15 +16,15 @@
 
 namespace umberhoist::standins {
 
-RelayProcess::RelayProcess(std::string program, std::filesystem::path folder, int descriptors)
-    : program_(std::move(program)), folder_(std::move(folder)), descriptors_(descriptors) {
+RelayProcess::RelayProcess(std::string program, std::filesystem::path folder, int max_descriptors)
+    : program_(std::move(program)), folder_(std::move(folder)), max_descriptors_(max_descriptors) {
   std::filesystem::create_directories(state_folder());
 }
 
 RelayProcess::~RelayProcess() {
-  if (child_ <= 0) return;
-  ::kill(child_, SIGKILL);
-  ::waitpid(child_, nullptr, 0);
+  if (child_pid_ <= 0) return;
+  ::kill(child_pid_, SIGKILL);
+  ::waitpid(child_pid_, nullptr, 0);
 }
 
 void RelayProcess::write_config(const std::string& json) {
@@ -38,51 +38,51 @@
   const std::string temporary_path = temporary_folder();
   std::filesystem::remove_all(temporary_folder());
   std::filesystem::create_directories(temporary_folder());
-  std::map<std::string, std::string> told;
+  std::map<std::string, std::string> relay_environment;
   const auto json = nlohmann::json::parse(std::ifstream(config), nullptr, false);
   for (const auto& [variable, key] :
        {std::pair{"PROXY_NAME", "name"}, {"PROXY_LISTEN", "listen"}, {"PROXY_DISCOVERY", "discovery"}}) {
-    if (json.is_object() && json.contains(key)) told[variable] = json[key].get<std::string>();
+    if (json.is_object() && json.contains(key)) relay_environment[variable] = json[key].get<std::string>();
   }
   const std::string log = folder_ / "log";
-  const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  if (out < 0) throw std::runtime_error("cannot open " + log + ": " + std::strerror(errno));
+  const int log_file = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+  if (log_file < 0) throw std::runtime_error("cannot open " + log + ": " + std::strerror(errno));
   const pid_t parent = ::getpid();
-  child_ = ::fork();
-  if (child_ == 0) {  // only calls that are safe after a fork
+  child_pid_ = ::fork();
+  if (child_pid_ == 0) {  // only async-signal-safe calls up to exec
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(127);
-    ::dup2(out, 1);
-    ::dup2(out, 2);
-    const int null = ::open("/dev/null", O_RDONLY);
-    ::dup2(null, 0);
-    // None of the kit's sockets: a connection that it resets would stay open in the child.
+    ::dup2(log_file, 1);
+    ::dup2(log_file, 2);
+    const int dev_null = ::open("/dev/null", O_RDONLY);
+    ::dup2(dev_null, 0);
+    // Closes all sockets of the kit: a connection that the kit resets would stay open in the child.
     ::close_range(3, ~0U, 0);
-    const rlimit limit{static_cast<rlim_t>(descriptors_), static_cast<rlim_t>(descriptors_)};
+    const rlimit limit{static_cast<rlim_t>(max_descriptors_), static_cast<rlim_t>(max_descriptors_)};
     ::setrlimit(RLIMIT_NOFILE, &limit);
-    sigset_t none;
-    ::sigemptyset(&none);
-    ::sigprocmask(SIG_SETMASK, &none, nullptr);
-    ::setsid();  // Ctrl-C is the kit's to pass on
+    sigset_t no_signals;
+    ::sigemptyset(&no_signals);
+    ::sigprocmask(SIG_SETMASK, &no_signals, nullptr);
+    ::setsid();  // Ctrl-C reaches only the kit, which ends the relay itself
     ::setenv("PROXY_CONFIG", config.c_str(), 1);
     ::setenv("PROXY_STATE", state_path.c_str(), 1);
     ::setenv("TMPDIR", temporary_path.c_str(), 1);
-    for (const auto& [variable, value] : told) ::setenv(variable.c_str(), value.c_str(), 1);
+    for (const auto& [variable, value] : relay_environment) ::setenv(variable.c_str(), value.c_str(), 1);
     ::execl(program_.c_str(), program_.c_str(), nullptr);
     ::_exit(127);
   }
-  ::close(out);
-  if (child_ < 0) throw std::runtime_error(std::string("cannot fork: ") + std::strerror(errno));
+  ::close(log_file);
+  if (child_pid_ < 0) throw std::runtime_error(std::string("cannot fork: ") + std::strerror(errno));
 }
 
 void RelayProcess::signal(int number) {
-  if (child_ > 0) ::kill(child_, number);
+  if (child_pid_ > 0) ::kill(child_pid_, number);
 }
 
 bool RelayProcess::has_exited() {
-  if (child_ <= 0) return true;
-  if (::waitpid(child_, &status_, WNOHANG) != child_) return false;
-  child_ = -1;
+  if (child_pid_ <= 0) return true;
+  if (::waitpid(child_pid_, &status_, WNOHANG) != child_pid_) return false;
+  child_pid_ = -1;
   return true;
 }
 
--- a/standins/process.h
+++ b/standins/process.h
@@ -1,5 +1,5 @@
-// A relay as a child process: the program that is to be judged, unmodified, with a folder and a configuration
-// of its own. What it writes to its log is kept for people and judged by nobody.
+// Runs the relay under test as a child process: the unmodified program, with a folder and a configuration of
+// its own. Its log is kept for inspection and is not part of any check.
 #pragma once
 
 #include <sys/types.h>
@@ -11,32 +11,33 @@
 
 class RelayProcess {
  public:
-  // `folder` holds its configuration, its log, in "state" what lasts and in "tmp" what does not. It may hold
-  // so many `descriptors`.
-  RelayProcess(std::string program, std::filesystem::path folder, int descriptors);
-  ~RelayProcess();  // kills it
+  // `folder` holds the configuration and the log; its subfolder "state" survives restarts, "tmp" does not.
+  // `max_descriptors` is the limit of open file descriptors.
+  RelayProcess(std::string program, std::filesystem::path folder, int max_descriptors);
+  ~RelayProcess();  // kills the process
   RelayProcess(const RelayProcess&) = delete;
   RelayProcess& operator=(const RelayProcess&) = delete;
 
-  void write_config(const std::string& json);  // replaces the file whole
-  // With the environment that the deployment page tells of, an empty temporary folder, and a session of its
-  // own, by which its helpers are known. Throws std::runtime_error.
+  void write_config(const std::string& json);  // replaces the file atomically
+  // Starts the process with the environment that the deployment page describes, an empty temporary folder,
+  // and a session of its own, by which its child processes can be found. Throws std::runtime_error on
+  // failure.
   void start();
   void signal(int number);
-  // True once it has ended, and then each time until the next start.
+  // True if the process has ended, until the next start.
   bool has_exited();
-  int exit_status() const { return status_; }  // as waitpid gives it
-  bool is_running() const { return child_ > 0; }
-  pid_t pid() const { return child_; }
-  void delete_state();  // the machine is lost with its folder
+  int exit_status() const { return status_; }  // as returned by waitpid
+  bool is_running() const { return child_pid_ > 0; }
+  pid_t pid() const { return child_pid_; }
+  void delete_state();  // empties the state folder, as when the machine is lost
   std::filesystem::path state_folder() const { return folder_ / "state"; }
   std::filesystem::path temporary_folder() const { return folder_ / "tmp"; }
 
  private:
   std::string program_;
   std::filesystem::path folder_;
-  int descriptors_;
-  pid_t child_ = -1;
+  int max_descriptors_;
+  pid_t child_pid_ = -1;
   int status_ = 0;
 };
 
--- a/standins/witness.h
+++ b/standins/witness.h
@@ -1,5 +1,6 @@
-// What the stand-ins see on their own sockets, told to whoever judges or counts it. Nothing here comes from
-// the relay's log or its files. All times are microseconds on the one steady clock of the kit.
+// Events that the stand-ins observe on their own sockets, and the interface through which the checker and the
+// counters receive them. Nothing here comes from the relay's log or its files. All times are microseconds of
+// the kit's steady clock.
 #pragma once
 
 #include <chrono>
@@ -25,7 +26,8 @@
   return std::chrono::steady_clock::time_point(std::chrono::microseconds(t));
 }
 
-// One handing-in of a message. A client that comes again uses a new id; `message` stays the same.
+// One submission of a message. A client that submits the message again uses a new id; `message` stays the
+// same.
 struct Submission {
   uint64_t id = 0;
   uint64_t message = 0;
@@ -33,26 +35,26 @@
   int message_class = 0;
   int destination = 0;
   uint64_t key = 0;
-  Time due = 0;  // it may be delivered until then
+  Time due = 0;  // latest time of delivery
 };
 
 struct Call {
-  uint64_t number = 0;  // of this call, counted over all endpoints
-  uint64_t id = 0;      // 0: no id that could be read
+  uint64_t number = 0;  // counts calls over all endpoints
+  uint64_t id = 0;      // 0: no readable id
   int relay = 0;
   int endpoint = 0;
   uint64_t key = 0;     // 0: none
-  uint64_t body = 0;    // hash of its bytes
-  Time first_byte = 0;  // the call itself is told when its last byte has come
+  uint64_t body = 0;    // hash of the body's bytes
+  Time first_byte = 0;  // the call is reported when its last byte has arrived
 };
 
 enum class CallEnd {
   kDelivered,    // 200
   kError,        // 500
-  kRefused,      // 429, 503 and 504: it never ran
+  kRefused,      // 429, 503 or 504: not executed
   kMessageOver,  // 410: the message is over
-  kReset,        // the endpoint broke the connection
-  kMalformed,    // what was written is no answer
+  kReset,        // the endpoint reset the connection
+  kMalformed,    // the endpoint wrote a malformed response
   kAbandoned     // the relay closed its connection, or its process ended
 };
 
@@ -60,18 +62,18 @@
 
 enum class RelayEvent {
   kStarted,
-  kReady,        // it answered PING
-  kSigterm,      // of a planned restart
-  kSighup,       // discovery has moved
-  kKilled,       // SIGKILL by the script
-  kMachineLost,  // the machine with its folder
-  kEnded,        // after SIGTERM, by itself
-  kCrashed       // by itself, not asked to
+  kReady,        // it replied to PING
+  kSigterm,      // for a planned restart
+  kSighup,       // the address of discovery has changed
+  kKilled,       // SIGKILL, as the scenario's script demands
+  kMachineLost,  // the machine is lost with its state folder
+  kEnded,        // exited after SIGTERM
+  kCrashed       // exited without being asked to
 };
 
 enum class NoReplyReason {
-  kTimeout,           // the client waited long enough
-  kConnectionClosed,  // the relay closed the connection on a request that it had been written
+  kTimeout,           // the client's time-out passed
+  kConnectionClosed,  // the relay closed the connection after the request was written
   kRelayExited        // the relay's process ended
 };
 
@@ -82,92 +84,95 @@
  public:
   virtual ~Observer() = default;
   virtual void on_submitted(Time /*at*/, const Submission&, uint64_t /*body*/) {}
-  // No connection to its relay came up: nothing was handed in.
+  // No connection to the relay was established, so nothing was submitted.
   virtual void on_connect_failed(Time /*at*/, const Submission&) {}
   virtual void on_accepted(Time /*at*/, uint64_t /*id*/) {}
-  virtual void on_refused(Time /*at*/, uint64_t /*id*/, Time /*after*/) {}
+  virtual void on_refused(Time /*at*/, uint64_t /*id*/, Time /*retry_after*/) {}
   virtual void on_failed(Time /*at*/, uint64_t /*id*/, const std::string& /*line*/) {}
   virtual void on_no_reply(Time /*at*/, uint64_t /*id*/, NoReplyReason) {}
   virtual void on_call(Time /*at*/, const Call&) {}
   virtual void on_executed(Time /*at*/, uint64_t /*call*/, bool /*effect*/) {}
-  virtual void on_call_ended(Time /*at*/, uint64_t /*call*/, CallEnd, Time /*wait*/) {}
+  virtual void on_call_ended(Time /*at*/, uint64_t /*call*/, CallEnd, Time /*retry_after*/) {}
   virtual void on_probe(Time /*at*/, int /*relay*/, int /*endpoint*/, bool /*ok*/) {}
-  virtual void on_notice(Time /*at*/, int /*relay*/, uint64_t /*id*/, bool /*returned*/, Time /*after*/) {}
-  // The list changed; the agent of one relay has been sent the change; it has written it to that relay.
+  virtual void on_notice(Time /*at*/, int /*relay*/, uint64_t /*id*/, bool /*returned*/,
+                         Time /*retry_after*/) {}
+  // Three stages of a change to the list of endpoints: the list has changed; the agent of one relay has
+  // received the change; the agent has written it to its relay.
   virtual void on_list_changed(Time /*at*/, int /*endpoint*/, int /*destination*/, HostState) {}
   virtual void on_agent_updated(Time /*at*/, int /*relay*/, int /*endpoint*/, HostState) {}
   virtual void on_relay_notified(Time /*at*/, int /*relay*/, int /*endpoint*/, HostState) {}
-  // Of a whole destination: calls a second that it takes when warm. `fails` while it lasts.
+  // An outage of a whole destination. `capacity` is in calls per second once the destination is warm.
   virtual void on_outage_started(Time /*at*/, int /*destination*/) {}
   virtual void on_outage_ended(Time /*at*/, int /*destination*/, double /*capacity*/) {}
   virtual void on_relay_event(Time /*at*/, int /*relay*/, RelayEvent) {}
-  // It was ended over a limit of the platform's; `curve` is what was measured before, for people.
+  // The relay was stopped because it exceeded a limit of the platform. `curve` has the measurements before
+  // that, for the report.
   virtual void on_limit_exceeded(Time /*at*/, int /*relay*/, const std::string& /*what*/,
                                  const std::vector<std::string>& /*curve*/) {}
 };
 
-// Tells each of several.
+// Forwards each event to all added observers, which must outlive it.
 class ObserverList : public Observer {
  public:
-  void add(Observer& witness) { all_.push_back(&witness); }
-  void on_submitted(Time at, const Submission& h, uint64_t body) override {
-    for (Observer* w : all_) w->on_submitted(at, h, body);
+  void add(Observer& observer) { observers_.push_back(&observer); }
+  void on_submitted(Time at, const Submission& submission, uint64_t body) override {
+    for (Observer* observer : observers_) observer->on_submitted(at, submission, body);
   }
-  void on_connect_failed(Time at, const Submission& h) override {
-    for (Observer* w : all_) w->on_connect_failed(at, h);
+  void on_connect_failed(Time at, const Submission& submission) override {
+    for (Observer* observer : observers_) observer->on_connect_failed(at, submission);
   }
   void on_accepted(Time at, uint64_t id) override {
-    for (Observer* w : all_) w->on_accepted(at, id);
+    for (Observer* observer : observers_) observer->on_accepted(at, id);
   }
-  void on_refused(Time at, uint64_t id, Time after) override {
-    for (Observer* w : all_) w->on_refused(at, id, after);
+  void on_refused(Time at, uint64_t id, Time retry_after) override {
+    for (Observer* observer : observers_) observer->on_refused(at, id, retry_after);
   }
   void on_failed(Time at, uint64_t id, const std::string& line) override {
-    for (Observer* w : all_) w->on_failed(at, id, line);
+    for (Observer* observer : observers_) observer->on_failed(at, id, line);
   }
-  void on_no_reply(Time at, uint64_t id, NoReplyReason how) override {
-    for (Observer* w : all_) w->on_no_reply(at, id, how);
+  void on_no_reply(Time at, uint64_t id, NoReplyReason reason) override {
+    for (Observer* observer : observers_) observer->on_no_reply(at, id, reason);
   }
   void on_call(Time at, const Call& call) override {
-    for (Observer* w : all_) w->on_call(at, call);
+    for (Observer* observer : observers_) observer->on_call(at, call);
   }
   void on_executed(Time at, uint64_t call, bool effect) override {
-    for (Observer* w : all_) w->on_executed(at, call, effect);
+    for (Observer* observer : observers_) observer->on_executed(at, call, effect);
   }
-  void on_call_ended(Time at, uint64_t call, CallEnd end, Time wait) override {
-    for (Observer* w : all_) w->on_call_ended(at, call, end, wait);
+  void on_call_ended(Time at, uint64_t call, CallEnd end, Time retry_after) override {
+    for (Observer* observer : observers_) observer->on_call_ended(at, call, end, retry_after);
   }
   void on_probe(Time at, int relay, int endpoint, bool ok) override {
-    for (Observer* w : all_) w->on_probe(at, relay, endpoint, ok);
+    for (Observer* observer : observers_) observer->on_probe(at, relay, endpoint, ok);
   }
-  void on_notice(Time at, int relay, uint64_t id, bool returned, Time after) override {
-    for (Observer* w : all_) w->on_notice(at, relay, id, returned, after);
+  void on_notice(Time at, int relay, uint64_t id, bool returned, Time retry_after) override {
+    for (Observer* observer : observers_) observer->on_notice(at, relay, id, returned, retry_after);
   }
-  void on_list_changed(Time at, int endpoint, int destination, HostState phase) override {
-    for (Observer* w : all_) w->on_list_changed(at, endpoint, destination, phase);
+  void on_list_changed(Time at, int endpoint, int destination, HostState state) override {
+    for (Observer* observer : observers_) observer->on_list_changed(at, endpoint, destination, state);
   }
-  void on_agent_updated(Time at, int relay, int endpoint, HostState phase) override {
-    for (Observer* w : all_) w->on_agent_updated(at, relay, endpoint, phase);
+  void on_agent_updated(Time at, int relay, int endpoint, HostState state) override {
+    for (Observer* observer : observers_) observer->on_agent_updated(at, relay, endpoint, state);
   }
-  void on_relay_notified(Time at, int relay, int endpoint, HostState phase) override {
-    for (Observer* w : all_) w->on_relay_notified(at, relay, endpoint, phase);
+  void on_relay_notified(Time at, int relay, int endpoint, HostState state) override {
+    for (Observer* observer : observers_) observer->on_relay_notified(at, relay, endpoint, state);
   }
   void on_outage_started(Time at, int destination) override {
-    for (Observer* w : all_) w->on_outage_started(at, destination);
+    for (Observer* observer : observers_) observer->on_outage_started(at, destination);
   }
   void on_outage_ended(Time at, int destination, double capacity) override {
-    for (Observer* w : all_) w->on_outage_ended(at, destination, capacity);
+    for (Observer* observer : observers_) observer->on_outage_ended(at, destination, capacity);
   }
   void on_relay_event(Time at, int relay, RelayEvent event) override {
-    for (Observer* w : all_) w->on_relay_event(at, relay, event);
+    for (Observer* observer : observers_) observer->on_relay_event(at, relay, event);
   }
   void on_limit_exceeded(Time at, int relay, const std::string& what,
                          const std::vector<std::string>& curve) override {
-    for (Observer* w : all_) w->on_limit_exceeded(at, relay, what, curve);
+    for (Observer* observer : observers_) observer->on_limit_exceeded(at, relay, what, curve);
   }
 
  private:
-  std::vector<Observer*> all_;
+  std::vector<Observer*> observers_;
 };
 
 }  // namespace umberhoist
--- a/tests/rehearsal/partner_test.cpp
+++ b/tests/rehearsal/partner_test.cpp
@@ -1,4 +1,4 @@
-// The model of a partner, in made-up time.
+// The partner model, in simulated time.
 #include "standins/partner.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace umberhoist::standins {
 namespace {
 
-PartnerSettings plain() {
+PartnerSettings test_settings() {
   PartnerSettings out;
   out.mean_service_time = 100 * kMillisecond;
   out.cv = 0;
@@ -16,14 +16,14 @@
   return out;
 }
 
-Partner partner(const PartnerSettings& settings) {
+Partner make_partner(const PartnerSettings& settings) {
   return Partner(settings, [] { return 0.5; });
 }
 
 constexpr Time kStart = 1000 * kSecond;
 
 TEST(Partner, ServesSoManyAtOnceQueuesAWhileAndTurnsTheRestAway) {
-  Partner p = partner(plain());
+  Partner p = make_partner(test_settings());
   EXPECT_EQ(p.handle_call(kStart).at, kStart + 100 * kMillisecond);
   EXPECT_EQ(p.handle_call(kStart).at, kStart + 100 * kMillisecond);
   const PartnerResponse waits = p.handle_call(kStart);
@@ -32,40 +32,40 @@
   p.handle_call(kStart);
   p.handle_call(kStart);
   p.handle_call(kStart);
-  const PartnerResponse full = p.handle_call(kStart);  // it would wait 300 ms
+  const PartnerResponse full = p.handle_call(kStart);  // the wait for a free place would be 300 ms
   EXPECT_EQ(full.status, 503);
   EXPECT_FALSE(full.executes);
 }
 
 TEST(Partner, AWindowedLimitTellsTheWaitToTheEndOfItsSpan) {
-  PartnerSettings s = plain();
+  PartnerSettings s = test_settings();
   s.concurrency = 100;
   s.limit = PartnerSettings::Limit::kWindow;
   s.limit_rate = 3;
-  Partner p = partner(s);
+  Partner p = make_partner(s);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(p.handle_call(kStart + 400 * kMillisecond).status, 200);
   const PartnerResponse over = p.handle_call(kStart + 400 * kMillisecond);
   EXPECT_EQ(over.status, 429);
   EXPECT_EQ(over.retry_after, 600 * kMillisecond);
-  EXPECT_EQ(p.handle_call(kStart + kSecond).status, 200);  // there is room again
+  EXPECT_EQ(p.handle_call(kStart + kSecond).status, 200);  // the next window
 }
 
 TEST(Partner, APlainRateRefillsAndItsToldWaitIsHonest) {
-  PartnerSettings s = plain();
+  PartnerSettings s = test_settings();
   s.concurrency = 100;
   s.limit = PartnerSettings::Limit::kRate;
   s.limit_rate = 5;
-  Partner p = partner(s);
+  Partner p = make_partner(s);
   PartnerResponse v;
-  int taken = 0;
-  while ((v = p.handle_call(kStart)).status == 200) ++taken;
-  EXPECT_EQ(taken, 5);
+  int accepted = 0;
+  while ((v = p.handle_call(kStart)).status == 200) ++accepted;
+  EXPECT_EQ(accepted, 5);
   EXPECT_GT(v.retry_after, 0);
   EXPECT_EQ(p.handle_call(kStart + v.retry_after).status, 200);
 }
 
 TEST(Partner, ItComesBackColdAndWarmsUp) {
-  Partner p = partner(plain());
+  Partner p = make_partner(test_settings());
   p.begin_fault(Fault::kUnavailable, kStart, kStart + 10 * kSecond, 0, true);
   const PartnerResponse shut = p.handle_call(kStart + kSecond);
   EXPECT_EQ(shut.status, 429);
@@ -79,7 +79,7 @@
 }
 
 TEST(Partner, PushedWhileItIsColdItFallsOverForGood) {
-  Partner p = partner(plain());  // 20 calls a second
+  Partner p = make_partner(test_settings());  // 20 calls per second
   p.begin_fault(Fault::kHang, kStart, kStart + kSecond, 0, false);
   p.end_fault(kStart + kSecond);
   Time now = kStart + kSecond;
@@ -89,7 +89,7 @@
 }
 
 TEST(Partner, AModerateLoadDoesNotPushItOver) {
-  Partner p = partner(plain());
+  Partner p = make_partner(test_settings());
   p.begin_fault(Fault::kHang, kStart, kStart + kSecond, 0, false);
   p.end_fault(kStart + kSecond);
   Time now = kStart + kSecond;
@@ -98,17 +98,17 @@
 }
 
 TEST(Partner, DropsARepeatWhileItRemembersTheKey) {
-  Partner p = partner(plain());
+  Partner p = make_partner(test_settings());
   EXPECT_TRUE(p.execute(kStart, 7));
   EXPECT_FALSE(p.execute(kStart + 14 * kSecond, 7));
-  EXPECT_TRUE(p.execute(kStart + 15 * kSecond, 7));  // remembered from the first run on
-  EXPECT_TRUE(p.execute(kStart, 0));                 // without a key each is an effect
+  EXPECT_TRUE(p.execute(kStart + 15 * kSecond, 7));  // the window counts from the first execution
+  EXPECT_TRUE(p.execute(kStart, 0));                 // without a key each call has an effect
   EXPECT_TRUE(p.execute(kStart, 0));
 }
 
 TEST(Partner, SilentAndHungItAnswersNothing) {
   for (const Fault trouble : {Fault::kSilent, Fault::kHang}) {
-    Partner p = partner(plain());
+    Partner p = make_partner(test_settings());
     p.begin_fault(trouble, kStart, kStart + kSecond, 0, false);
     EXPECT_EQ(p.handle_call(kStart).kind, PartnerResponse::Kind::kNone);
     p.end_fault(kStart + kSecond);
@@ -117,7 +117,7 @@
 }
 
 TEST(Partner, FailingResettingAndSpoilingAreSharesOfItsCalls) {
-  Partner p = partner(plain());  // every chance is 0.5
+  Partner p = make_partner(test_settings());  // the random source always returns 0.5
   p.begin_fault(Fault::kServerError, kStart, kStart + kSecond, 0.6, false);
   EXPECT_EQ(p.handle_call(kStart).status, 500);
   p.begin_fault(Fault::kServerError, kStart, kStart + kSecond, 0.4, false);
--- a/tests/rehearsal/standins_test.cpp
+++ b/tests/rehearsal/standins_test.cpp
@@ -1,5 +1,4 @@
-// The stand-ins on real sockets: what a silent, a refusing, a replaced and a draining machine looks like to a
-// caller.
+// The stand-ins on real sockets: how a silent, refusing, replaced or draining machine appears to a caller.
 #include <gtest/gtest.h>
 #include <stdlib.h>
 
@@ -20,47 +19,49 @@
 
 using Error = boost::system::error_code;
 
-struct Seen : Observer {
+struct RecordingObserver : Observer {
   std::vector<Call> calls;
   std::vector<std::pair<CallEnd, Time>> ends;
-  std::vector<std::string> clients;
+  std::vector<std::string> replies;
   std::vector<std::pair<uint64_t, bool>> notices;
-  std::vector<std::pair<int, HostState>> tellings;
-  int ran_count = 0;
+  std::vector<std::pair<int, HostState>> notifications;
+  int executed_count = 0;
 
   void on_call(Time, const Call& call) override { calls.push_back(call); }
-  void on_executed(Time, uint64_t, bool) override { ++ran_count; }
-  void on_call_ended(Time, uint64_t, CallEnd end, Time wait) override { ends.emplace_back(end, wait); }
-  void on_submitted(Time, const Submission&, uint64_t) override { clients.push_back("handed"); }
-  void on_connect_failed(Time, const Submission&) override { clients.push_back("not reached"); }
-  void on_accepted(Time, uint64_t) override { clients.push_back("taken"); }
-  void on_refused(Time, uint64_t, Time after) override {
-    clients.push_back("busy " + std::to_string(after / 1000));
+  void on_executed(Time, uint64_t, bool) override { ++executed_count; }
+  void on_call_ended(Time, uint64_t, CallEnd end, Time retry_after) override {
+    ends.emplace_back(end, retry_after);
   }
-  void on_failed(Time, uint64_t, const std::string&) override { clients.push_back("failed"); }
-  void on_no_reply(Time, uint64_t, NoReplyReason how) override {
-    clients.push_back(how == NoReplyReason::kTimeout            ? "gave up"
-                      : how == NoReplyReason::kConnectionClosed ? "closed"
-                                                                : "died");
+  void on_submitted(Time, const Submission&, uint64_t) override { replies.push_back("handed"); }
+  void on_connect_failed(Time, const Submission&) override { replies.push_back("not reached"); }
+  void on_accepted(Time, uint64_t) override { replies.push_back("taken"); }
+  void on_refused(Time, uint64_t, Time retry_after) override {
+    replies.push_back("busy " + std::to_string(retry_after / 1000));
+  }
+  void on_failed(Time, uint64_t, const std::string&) override { replies.push_back("failed"); }
+  void on_no_reply(Time, uint64_t, NoReplyReason reason) override {
+    replies.push_back(reason == NoReplyReason::kTimeout            ? "gave up"
+                      : reason == NoReplyReason::kConnectionClosed ? "closed"
+                                                                   : "died");
   }
   void on_notice(Time, int, uint64_t id, bool returned, Time) override { notices.emplace_back(id, returned); }
-  void on_relay_notified(Time, int, int endpoint, HostState phase) override {
-    tellings.emplace_back(endpoint, phase);
+  void on_relay_notified(Time, int, int endpoint, HostState state) override {
+    notifications.emplace_back(endpoint, state);
   }
 };
 
-struct World {
+struct StandinsSetup {
   boost::asio::io_context io;
-  Seen seen;
-  std::optional<int> gate;
-  Endpoints endpoints{io, limits(), seen, [] { return 0.5; }, [this](uint64_t) { return gate; }};
+  RecordingObserver observer;
+  std::optional<int> early_status;
+  Endpoints endpoints{io, limits(), observer, [] { return 0.5; }, [this](uint64_t) { return early_status; }};
 
   static Endpoints::Options limits() {
     Endpoints::Options out;
     out.idle_timeout = 300 * kMillisecond;
     return out;
   }
-  World() {
+  StandinsSetup() {
     PartnerSettings s;
     s.mean_service_time = 5 * kMillisecond;
     s.cv = 0;
@@ -68,27 +69,27 @@
     endpoints.open({1, 7, 0});
   }
 
-  // Runs the loop until it holds; false if it does not within a time that only a failure reaches.
-  template <class Holds>
-  bool until(Holds holds) {
+  // Runs the loop until the condition holds. Returns false after a time-out that only a failure reaches.
+  template <class Condition>
+  bool run_until(Condition condition) {
     const Time deadline = steady_now() + 20 * kSecond;
-    while (!holds()) {
+    while (!condition()) {
       if (steady_now() > deadline) return false;
       io.restart();
       io.run_one_for(std::chrono::milliseconds(10));
     }
     return true;
   }
-  void pass(Time time) {
+  void run_for(Time time) {
     io.restart();
     io.run_for(std::chrono::microseconds(time));
   }
 };
 
-// A caller on a socket of its own, driven by the same loop.
-struct Caller {
-  explicit Caller(World& w, int endpoint = 1) : world(w), socket(w.io) {
-    socket.async_connect({boost::asio::ip::address_v4::loopback(), w.endpoints.port(endpoint, 0)},
+// A client with a socket of its own, driven by the same loop.
+struct TestClient {
+  explicit TestClient(StandinsSetup& standins, int endpoint = 1) : setup(standins), socket(standins.io) {
+    socket.async_connect({boost::asio::ip::address_v4::loopback(), setup.endpoints.port(endpoint, 0)},
                          [this](const Error& error) {
                            state = error ? "refused" : "up";
                            if (!error) read();
@@ -110,10 +111,10 @@
                                                    "\r\n\r\n" + body));
   }
   bool up() {
-    return world.until([this] { return state != ""; }) && state == "up";
+    return setup.run_until([this] { return state != ""; }) && state == "up";
   }
 
-  World& world;
+  StandinsSetup& setup;
   tcp::socket socket;
   char bytes[4096];
   std::string state;
@@ -121,151 +122,152 @@
 };
 
 TEST(Standins, ACallIsSeenRunsAndIsAnswered) {
-  World w;
-  Caller c(w);
+  StandinsSetup setup;
+  TestClient c(setup);
   ASSERT_TRUE(c.up());
   c.call(5, "some body");
-  ASSERT_TRUE(w.until([&] { return !w.seen.ends.empty(); }));
-  EXPECT_EQ(w.seen.calls.at(0).id, 5u);
-  EXPECT_EQ(w.seen.calls.at(0).body, hash_bytes("some body"));
-  EXPECT_EQ(w.seen.ends.at(0).first, CallEnd::kDelivered);
-  EXPECT_EQ(w.seen.ran_count, 1);
-  ASSERT_TRUE(w.until([&] { return c.text.starts_with("HTTP/1.1 200"); }));
+  ASSERT_TRUE(setup.run_until([&] { return !setup.observer.ends.empty(); }));
+  EXPECT_EQ(setup.observer.calls.at(0).id, 5u);
+  EXPECT_EQ(setup.observer.calls.at(0).body, hash_bytes("some body"));
+  EXPECT_EQ(setup.observer.ends.at(0).first, CallEnd::kDelivered);
+  EXPECT_EQ(setup.observer.executed_count, 1);
+  ASSERT_TRUE(setup.run_until([&] { return c.text.starts_with("HTTP/1.1 200"); }));
 }
 
-// 20 s of silence with no reset, in the small.
+// A partner that stays silent without a reset, as in 20 s outages, but shorter.
 TEST(Standins, ASilentMachineAnswersNothingResetsNothingAndLetsNoneIn) {
-  World w;
-  Caller before(w);
+  StandinsSetup setup;
+  TestClient before(setup);
   ASSERT_TRUE(before.up());
-  w.endpoints.begin_fault(7, Fault::kSilent, steady_now() + kSecond, 0, false);
+  setup.endpoints.begin_fault(7, Fault::kSilent, steady_now() + kSecond, 0, false);
   before.call();
-  Caller during(w);
-  w.pass(600 * kMillisecond);
+  TestClient during(setup);
+  setup.run_for(600 * kMillisecond);
   EXPECT_EQ(before.text, "");
   EXPECT_EQ(before.state, "up");
-  EXPECT_EQ(during.state, "");  // its connection never comes up
-  EXPECT_EQ(w.seen.calls.size(), 1u);
-  EXPECT_EQ(w.seen.ran_count, 0);
-  w.endpoints.end_fault(7);
-  ASSERT_TRUE(w.until([&] { return before.state == "reset"; }));  // it is back, and knows nothing of it
-  Caller after(w);
-  ASSERT_TRUE(after.up());
-  after.call(6);
-  ASSERT_TRUE(w.until([&] { return after.text.starts_with("HTTP/1.1 200"); }));
+  EXPECT_EQ(during.state, "");  // its connection is never established
+  EXPECT_EQ(setup.observer.calls.size(), 1u);
+  EXPECT_EQ(setup.observer.executed_count, 0);
+  setup.endpoints.end_fault(7);
+  ASSERT_TRUE(
+      setup.run_until([&] { return before.state == "reset"; }));  // the partner is back and has lost the call
+  TestClient retry_after(setup);
+  ASSERT_TRUE(retry_after.up());
+  retry_after.call(6);
+  ASSERT_TRUE(setup.run_until([&] { return retry_after.text.starts_with("HTTP/1.1 200"); }));
 }
 
 TEST(Standins, ARefusingMachineKeepsItsPort) {
-  World w;
-  const uint16_t port = w.endpoints.port(1, 0);
-  Caller before(w);
+  StandinsSetup setup;
+  const uint16_t port = setup.endpoints.port(1, 0);
+  TestClient before(setup);
   ASSERT_TRUE(before.up());
-  w.endpoints.begin_fault(7, Fault::kConnectionRefused, steady_now() + kSecond, 0, false);
-  Caller during(w);
-  ASSERT_TRUE(w.until([&] { return during.state != "" && before.state != "up"; }));
+  setup.endpoints.begin_fault(7, Fault::kConnectionRefused, steady_now() + kSecond, 0, false);
+  TestClient during(setup);
+  ASSERT_TRUE(setup.run_until([&] { return during.state != "" && before.state != "up"; }));
   EXPECT_EQ(during.state, "refused");
   EXPECT_EQ(before.state, "reset");
-  w.endpoints.end_fault(7);
-  EXPECT_EQ(w.endpoints.port(1, 0), port);
-  Caller after(w);
-  EXPECT_TRUE(after.up());
+  setup.endpoints.end_fault(7);
+  EXPECT_EQ(setup.endpoints.port(1, 0), port);
+  TestClient retry_after(setup);
+  EXPECT_TRUE(retry_after.up());
 }
 
 TEST(Standins, AHungMachineTakesCallsAndAnswersNone) {
-  World w;
-  w.endpoints.begin_fault(7, Fault::kHang, steady_now() + kSecond, 0, false);
-  Caller c(w);
+  StandinsSetup setup;
+  setup.endpoints.begin_fault(7, Fault::kHang, steady_now() + kSecond, 0, false);
+  TestClient c(setup);
   ASSERT_TRUE(c.up());
   c.call();
-  ASSERT_TRUE(w.until([&] { return w.seen.calls.size() == 1; }));
-  w.pass(100 * kMillisecond);
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.calls.size() == 1; }));
+  setup.run_for(100 * kMillisecond);
   EXPECT_EQ(c.text, "");
   c.socket.close();
-  ASSERT_TRUE(w.until([&] { return !w.seen.ends.empty(); }));
-  EXPECT_EQ(w.seen.ends.at(0).first, CallEnd::kAbandoned);
+  ASSERT_TRUE(setup.run_until([&] { return !setup.observer.ends.empty(); }));
+  EXPECT_EQ(setup.observer.ends.at(0).first, CallEnd::kAbandoned);
 }
 
 TEST(Standins, ANewcomerMayComeUpAtTheAddressOfOneThatHasGone) {
-  World w;
-  const uint16_t port = w.endpoints.port(1, 0);
-  Caller before(w);
+  StandinsSetup setup;
+  const uint16_t port = setup.endpoints.port(1, 0);
+  TestClient before(setup);
   ASSERT_TRUE(before.up());
-  w.endpoints.drain(1);
+  setup.endpoints.drain(1);
   before.call();
-  ASSERT_TRUE(w.until([&] { return before.text.starts_with("HTTP/1.1 503"); }));
-  w.endpoints.close(1);
-  ASSERT_TRUE(w.until([&] { return before.state != "up"; }));
-  w.endpoints.open({2, 7, 0}, 1);
-  EXPECT_EQ(w.endpoints.port(2, 0), port);
-  Caller after(w, 2);
-  ASSERT_TRUE(after.up());
-  after.call(6);
-  ASSERT_TRUE(w.until([&] { return w.seen.calls.size() == 2; }));
-  EXPECT_EQ(w.seen.calls.at(1).endpoint, 2);
+  ASSERT_TRUE(setup.run_until([&] { return before.text.starts_with("HTTP/1.1 503"); }));
+  setup.endpoints.close(1);
+  ASSERT_TRUE(setup.run_until([&] { return before.state != "up"; }));
+  setup.endpoints.open({2, 7, 0}, 1);
+  EXPECT_EQ(setup.endpoints.port(2, 0), port);
+  TestClient retry_after(setup, 2);
+  ASSERT_TRUE(retry_after.up());
+  retry_after.call(6);
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.calls.size() == 2; }));
+  EXPECT_EQ(setup.observer.calls.at(1).endpoint, 2);
 }
 
 TEST(Standins, ACallThatCrossesTheCloseOfAnIdleConnectionIsSeenAndReset) {
-  World w;
-  Caller c(w);
+  StandinsSetup setup;
+  TestClient c(setup);
   ASSERT_TRUE(c.up());
-  ASSERT_TRUE(w.until([&] { return c.state == "ended"; }));  // idle for too long
+  ASSERT_TRUE(setup.run_until([&] { return c.state == "ended"; }));  // idle time-out
   c.call();
-  ASSERT_TRUE(w.until([&] { return !w.seen.ends.empty(); }));
-  EXPECT_EQ(w.seen.ends.at(0).first, CallEnd::kReset);
-  EXPECT_EQ(w.seen.ran_count, 0);
+  ASSERT_TRUE(setup.run_until([&] { return !setup.observer.ends.empty(); }));
+  EXPECT_EQ(setup.observer.ends.at(0).first, CallEnd::kReset);
+  EXPECT_EQ(setup.observer.executed_count, 0);
 }
 
 TEST(Standins, OverItsConnectionsAnEndpointTurnsAway) {
-  World w;
-  w.endpoints.open({2, 7, 1});
-  Caller first(w, 2), second(w, 2);
+  StandinsSetup setup;
+  setup.endpoints.open({2, 7, 1});
+  TestClient first(setup, 2), second(setup, 2);
   ASSERT_TRUE(first.up() && second.up());
   first.call();
   second.call(6);
-  ASSERT_TRUE(w.until([&] { return w.seen.ends.size() == 2; }));
-  const int delivered =
-      (w.seen.ends[0].first == CallEnd::kDelivered) + (w.seen.ends[1].first == CallEnd::kDelivered);
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.ends.size() == 2; }));
+  const int delivered = (setup.observer.ends[0].first == CallEnd::kDelivered) +
+                        (setup.observer.ends[1].first == CallEnd::kDelivered);
   EXPECT_EQ(delivered, 1);
 }
 
 TEST(Standins, TheGateAnswers410And504) {
   for (const int status : {410, 504}) {
-    World w;
-    w.gate = status;
-    Caller c(w);
+    StandinsSetup setup;
+    setup.early_status = status;
+    TestClient c(setup);
     ASSERT_TRUE(c.up());
     c.call();
-    ASSERT_TRUE(w.until([&] { return !c.text.empty(); }));
+    ASSERT_TRUE(setup.run_until([&] { return !c.text.empty(); }));
     EXPECT_TRUE(c.text.starts_with("HTTP/1.1 " + std::to_string(status)));
-    EXPECT_EQ(w.seen.ran_count, 0);
+    EXPECT_EQ(setup.observer.executed_count, 0);
   }
 }
 
 TEST(Standins, WhatIsNoHttpIsAnswered400AndClosed) {
-  World w;
-  Caller c(w);
+  StandinsSetup setup;
+  TestClient c(setup);
   ASSERT_TRUE(c.up());
   boost::asio::write(c.socket, boost::asio::buffer(std::string("no line of HTTP\r\n\r\n")));
-  ASSERT_TRUE(w.until([&] { return c.state == "ended"; }));
+  ASSERT_TRUE(setup.run_until([&] { return c.state == "ended"; }));
   EXPECT_TRUE(c.text.starts_with("HTTP/1.1 400"));
 }
 
 // ---- The agent ----
 
-struct AgentWorld {
+struct AgentSetup {
   boost::asio::io_context io;
-  Seen seen;
-  DiscoveryAgent agent{io, 0, seen};
+  RecordingObserver observer;
+  DiscoveryAgent agent{io, 0, observer};
   tcp::socket socket{io};
   std::string text;
   bool ended = false;
   char bytes[8192];
 
   void connect(const std::string& request) {
-    const std::string at = agent.address();
+    const std::string address = agent.address();
     socket = tcp::socket(io);
     socket.async_connect({boost::asio::ip::address_v4::loopback(),
-                          static_cast<uint16_t>(std::stoi(at.substr(at.find(':') + 1)))},
+                          static_cast<uint16_t>(std::stoi(address.substr(address.find(':') + 1)))},
                          [this, request](const Error& error) {
                            if (error) return;
                            boost::asio::write(socket, boost::asio::buffer(request));
@@ -282,21 +284,21 @@
       }
     });
   }
-  bool until(const std::function<bool()>& holds) {
+  bool run_until(const std::function<bool()>& condition) {
     const Time deadline = steady_now() + 20 * kSecond;
-    while (!holds()) {
+    while (!condition()) {
       if (steady_now() > deadline) return false;
       io.restart();
       io.run_one_for(std::chrono::milliseconds(10));
     }
     return true;
   }
-  static ListEntry entry(int number, HostState phase = HostState::kActive) {
+  static ListEntry entry(int number, HostState state = HostState::kActive) {
     ListEntry out;
     out.endpoint = number;
     out.id = "s-" + std::to_string(number);
     out.host_port = "127.0.0.1:1";
-    out.phase = phase;
+    out.phase = state;
     return out;
   }
 };
@@ -304,51 +306,52 @@
 const std::string kWatch = "GET /api/targets?stream=1&index=-1 HTTP/1.1\r\nHost: a\r\n\r\n";
 
 TEST(Standins, AWatchGetsTheWholeListAndThenEachChange) {
-  AgentWorld w;
-  w.agent.apply_update({AgentWorld::entry(1), AgentWorld::entry(2)});
-  w.connect(kWatch);
-  ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 2; }));
-  w.agent.apply_update({AgentWorld::entry(1, HostState::kDraining)});
-  ASSERT_TRUE(w.until([&] { return w.text.find("leaving") != std::string::npos; }));
-  ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 3; }));
-  EXPECT_EQ(w.seen.tellings.back(), (std::pair<int, HostState>{1, HostState::kDraining}));
+  AgentSetup setup;
+  setup.agent.apply_update({AgentSetup::entry(1), AgentSetup::entry(2)});
+  setup.connect(kWatch);
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.notifications.size() == 2; }));
+  setup.agent.apply_update({AgentSetup::entry(1, HostState::kDraining)});
+  ASSERT_TRUE(setup.run_until([&] { return setup.text.find("leaving") != std::string::npos; }));
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.notifications.size() == 3; }));
+  EXPECT_EQ(setup.observer.notifications.back(), (std::pair<int, HostState>{1, HostState::kDraining}));
 }
 
 TEST(Standins, AMutedAgentTakesNoticesAndTellsTheRestLater) {
-  AgentWorld w;
-  w.agent.apply_update({AgentWorld::entry(1)});
-  w.agent.set_silent(true);
-  w.connect(kWatch);
+  AgentSetup setup;
+  setup.agent.apply_update({AgentSetup::entry(1)});
+  setup.agent.set_silent(true);
+  setup.connect(kWatch);
   const std::string body = "{\"id\":\"00000000000000a1\",\"state\":\"returned\",\"after_ms\":5}\n";
-  tcp::socket poster(w.io);
-  const std::string at = w.agent.address();
-  poster.connect({boost::asio::ip::address_v4::loopback(),
-                  static_cast<uint16_t>(std::stoi(at.substr(at.find(':') + 1)))});
-  boost::asio::write(poster, boost::asio::buffer("POST /v2/finals HTTP/1.1\r\nHost: a\r\nContent-Length: " +
-                                                 std::to_string(body.size()) + "\r\n\r\n" + body));
-  ASSERT_TRUE(w.until([&] { return w.seen.notices.size() == 1; }));
-  EXPECT_EQ(w.seen.notices[0], (std::pair<uint64_t, bool>{0xa1, true}));
-  EXPECT_EQ(w.text, "");
-  w.agent.set_silent(false);
-  ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 1; }));
+  tcp::socket notice_socket(setup.io);
+  const std::string address = setup.agent.address();
+  notice_socket.connect({boost::asio::ip::address_v4::loopback(),
+                         static_cast<uint16_t>(std::stoi(address.substr(address.find(':') + 1)))});
+  boost::asio::write(notice_socket,
+                     boost::asio::buffer("POST /v2/finals HTTP/1.1\r\nHost: a\r\nContent-Length: " +
+                                         std::to_string(body.size()) + "\r\n\r\n" + body));
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.notices.size() == 1; }));
+  EXPECT_EQ(setup.observer.notices[0], (std::pair<uint64_t, bool>{0xa1, true}));
+  EXPECT_EQ(setup.text, "");
+  setup.agent.set_silent(false);
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.notifications.size() == 1; }));
 }
 
 TEST(Standins, AnAgentThatMovesEndsItsOldConnectionsAfterTheGrace) {
-  AgentWorld w;
-  w.agent.apply_update({AgentWorld::entry(1)});
-  w.connect(kWatch);
-  ASSERT_TRUE(w.until([&] { return w.seen.tellings.size() == 1; }));
-  const std::string before = w.agent.address();
-  w.agent.move_to_new_port(50 * kMillisecond);
-  EXPECT_NE(w.agent.address(), before);
-  EXPECT_TRUE(w.until([&] { return w.ended; }));
+  AgentSetup setup;
+  setup.agent.apply_update({AgentSetup::entry(1)});
+  setup.connect(kWatch);
+  ASSERT_TRUE(setup.run_until([&] { return setup.observer.notifications.size() == 1; }));
+  const std::string before = setup.agent.address();
+  setup.agent.move_to_new_port(50 * kMillisecond);
+  EXPECT_NE(setup.agent.address(), before);
+  EXPECT_TRUE(setup.run_until([&] { return setup.ended; }));
 }
 
 // ---- A relay's process ----
 
-// It gets none of the kit's sockets, and no more descriptors than its limit.
+// The process inherits none of the kit's sockets and gets the configured limit of descriptors.
 TEST(Standins, AProcessInheritsNoDescriptorAndKeepsItsLimit) {
-  World w;  // sockets that a child could inherit
+  StandinsSetup setup;  // sockets that a child could inherit
   std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-process-XXXXXX";
   const std::filesystem::path folder = ::mkdtemp(pattern.data());
   const std::filesystem::path program = folder / "program";
@@ -357,22 +360,22 @@
   {
     RelayProcess process(program, folder / "n0", 77);
     process.start();
-    ASSERT_TRUE(w.until([&] { return process.has_exited(); }));
+    ASSERT_TRUE(setup.run_until([&] { return process.has_exited(); }));
   }
   std::ifstream log(folder / "n0/log");
   int descriptors = 0, limit = 0;
   log >> descriptors >> limit;
   EXPECT_GT(descriptors, 0);
-  EXPECT_LE(descriptors, 5);  // the standard ones and what ls opens itself
+  EXPECT_LE(descriptors, 5);  // the standard streams and what ls itself opens
   EXPECT_EQ(limit, 77);
   std::filesystem::remove_all(folder);
 }
 
 // ---- Clients ----
 
-struct Relay {  // answers a request with the next of its lines; "" closes
-  Relay(boost::asio::io_context& context, std::vector<std::string> lines)
-      : io(context), acceptor(io, {boost::asio::ip::address_v4::loopback(), 0}), answers(std::move(lines)) {
+struct FakeRelay {  // replies to each request with the next line; "" closes the connection
+  FakeRelay(boost::asio::io_context& context, std::vector<std::string> lines)
+      : io(context), acceptor(io, {boost::asio::ip::address_v4::loopback(), 0}), replies(std::move(lines)) {
     accept();
   }
   void accept() {
@@ -385,8 +388,8 @@
   }
   void serve(const std::shared_ptr<tcp::socket>& socket) {
     socket->async_read_some(boost::asio::buffer(bytes), [this, socket](const Error& error, size_t) {
-      if (error || next == answers.size()) return;
-      const std::string line = answers[next++];
+      if (error || next == replies.size()) return;
+      const std::string line = replies[next++];
       if (line.empty()) return socket->close();
       if (line != "silence") boost::asio::write(*socket, boost::asio::buffer(line + "\r\n"));
       serve(socket);
@@ -394,38 +397,39 @@
   }
   boost::asio::io_context& io;
   tcp::acceptor acceptor;
-  std::vector<std::string> answers;
+  std::vector<std::string> replies;
   size_t next = 0;
   std::vector<std::shared_ptr<tcp::socket>> sockets;
   char bytes[4096];
 };
 
-std::vector<std::string> heard_by_client(std::vector<std::string> answers, size_t events, bool down = false) {
-  World w;
-  Relay relay(w.io, std::move(answers));
-  LoadGenerator front(w.io, {relay.acceptor.local_endpoint()}, {}, w.seen, [down](int) { return down; });
-  Submission h;
-  h.id = 9;
-  front.submit(h, "c=a,d=1000,dest=7", "body");
-  EXPECT_TRUE(w.until([&] { return w.seen.clients.size() >= events; }));
-  return w.seen.clients;
+std::vector<std::string> client_events(std::vector<std::string> replies, size_t events, bool down = false) {
+  StandinsSetup setup;
+  FakeRelay relay(setup.io, std::move(replies));
+  LoadGenerator load_generator(setup.io, {relay.acceptor.local_endpoint()}, {}, setup.observer,
+                               [down](int) { return down; });
+  Submission submission;
+  submission.id = 9;
+  load_generator.submit(submission, "c=a,d=1000,dest=7", "body");
+  EXPECT_TRUE(setup.run_until([&] { return setup.observer.replies.size() >= events; }));
+  return setup.observer.replies;
 }
 
 TEST(Standins, AClientHearsEachKindOfAnswer) {
-  using Words = std::vector<std::string>;
-  EXPECT_EQ(heard_by_client({"+OK"}, 2), (Words{"handed", "taken"}));
-  EXPECT_EQ(heard_by_client({"$2\r\nok"}, 2), (Words{"handed", "taken"}));
-  EXPECT_EQ(heard_by_client({"-BUSY"}, 2), (Words{"handed", "busy 0"}));
-  EXPECT_EQ(heard_by_client({"-BUSY 750"}, 2), (Words{"handed", "busy 750"}));
-  EXPECT_EQ(heard_by_client({"-ERR no"}, 2), (Words{"handed", "failed"}));
-  EXPECT_EQ(heard_by_client({"silence"}, 2), (Words{"handed", "gave up"}));
+  using Events = std::vector<std::string>;
+  EXPECT_EQ(client_events({"+OK"}, 2), (Events{"handed", "taken"}));
+  EXPECT_EQ(client_events({"$2\r\nok"}, 2), (Events{"handed", "taken"}));
+  EXPECT_EQ(client_events({"-BUSY"}, 2), (Events{"handed", "busy 0"}));
+  EXPECT_EQ(client_events({"-BUSY 750"}, 2), (Events{"handed", "busy 750"}));
+  EXPECT_EQ(client_events({"-ERR no"}, 2), (Events{"handed", "failed"}));
+  EXPECT_EQ(client_events({"silence"}, 2), (Events{"handed", "gave up"}));
 }
 
 TEST(Standins, ARequestThatCrossesACloseIsSentOnceMoreAndThenItIsLost) {
-  using Words = std::vector<std::string>;
-  EXPECT_EQ(heard_by_client({"", "+OK"}, 2), (Words{"handed", "taken"}));
-  EXPECT_EQ(heard_by_client({"", ""}, 2), (Words{"handed", "closed"}));
-  EXPECT_EQ(heard_by_client({"", ""}, 2, true), (Words{"handed", "died"}));
+  using Events = std::vector<std::string>;
+  EXPECT_EQ(client_events({"", "+OK"}, 2), (Events{"handed", "taken"}));
+  EXPECT_EQ(client_events({"", ""}, 2), (Events{"handed", "closed"}));
+  EXPECT_EQ(client_events({"", ""}, 2, true), (Events{"handed", "died"}));
 }
 
 }  // namespace
