--- a/register/machine.cpp
+++ b/register/machine.cpp
@@ -7,21 +7,21 @@
 namespace umberhoist::reg {
 namespace {
 
-CommandResult no(std::string reason) { return {false, std::move(reason)}; }
-const CommandResult kDone{true, ""};
+CommandResult refuse(std::string reason) { return {false, std::move(reason)}; }
+const CommandResult kApplied{true, ""};
 
-constexpr size_t kMostName = 64;
+constexpr size_t kMaxMemberNameBytes = 64;
 
-// Where it stands in a field that is kept in order, or would.
+// Index of the item with this name in a list sorted by name, or the index where it would be inserted.
 template <class Items, class Name>
-int place(const Items& items, const Name& name) {
+int sorted_position(const Items& items, const Name& name) {
   return static_cast<int>(std::lower_bound(items.begin(), items.end(), name,
                                            [](const auto& a, const auto& b) { return a.name() < b; }) -
                           items.begin());
 }
 
 template <class Items, class Item>
-void insert(Items* items, int at, Item item) {
+void insert_at(Items* items, int at, Item item) {
   items->Add(std::move(item));
   for (int i = items->size() - 1; i > at; --i) items->SwapElements(i, i - 1);
 }
@@ -119,11 +119,12 @@
 }
 
 const pb::Member* StateMachine::member(const std::string& name) const {
-  const int at = place(state_.member(), name);
+  const int at = sorted_position(state_.member(), name);
   return at < state_.member_size() && state_.member(at).name() == name ? &state_.member(at) : nullptr;
 }
 
-// A clock that went back does not open what was closed: what was surely past before, is past.
+// state_.floor is a time that has certainly passed. A clock that was set back therefore cannot reopen changes
+// that a window had closed.
 freeze::TimeBounds StateMachine::time_bounds(int64_t earliest, int64_t latest) const {
   return {earliest, std::max(latest, state_.floor())};
 }
@@ -133,15 +134,15 @@
 }
 
 CommandResult StateMachine::apply(uint64_t index, const pb::Command& command) {
-  if (index <= state_.index()) return no("command " + std::to_string(index) + " was applied before");
+  if (index <= state_.index()) return refuse("command " + std::to_string(index) + " was applied before");
   state_.set_index(index);
-  if (command.earliest() > command.latest()) return no("its time ends before it begins");
+  if (command.earliest() > command.latest()) return refuse("its time ends before it begins");
   freeze::TimeBounds now = time_bounds(command.earliest(), command.latest());
   now.latest += rules_.commit_margin_us;
   state_.set_floor(std::max(state_.floor(), command.earliest()));
   switch (command.what_case()) {
     case pb::Command::kMembers:
-      return members(command.members());
+      return update_members(command.members());
     case pb::Command::kProposeMap:
       return propose_map(command.propose_map(), now, index);
     case pb::Command::kCommitMap:
@@ -155,28 +156,28 @@
     case pb::Command::kFinishVersion:
       return finish_version(command.finish_version(), now);
     case pb::Command::kTakeBack:
-      return take_back(command.take_back());
+      return end_rollout(command.take_back());
     case pb::Command::kLead:
       state_.set_lead(command.lead().name());
       state_.set_lead_index(index);
-      return kDone;
+      return kApplied;
     case pb::Command::WHAT_NOT_SET:
       break;
   }
-  return no("a command that this program does not know");
+  return refuse("a command that this program does not know");
 }
 
-CommandResult StateMachine::members(const pb::Members& command) {
+CommandResult StateMachine::update_members(const pb::Members& command) {
   for (const pb::Member& seen : command.seen()) {
-    if (seen.name().empty() || seen.name().size() > kMostName || !(seen.weight() >= 0)) continue;
-    const int at = place(state_.member(), seen.name());
+    if (seen.name().empty() || seen.name().size() > kMaxMemberNameBytes || !(seen.weight() >= 0)) continue;
+    const int at = sorted_position(state_.member(), seen.name());
     pb::Member* member = nullptr;
     if (at < state_.member_size() && state_.member(at).name() == seen.name()) {
       member = state_.mutable_member(at);
     } else {
       if (state_.member_size() >= static_cast<int>(rules_.max_members))
-        return no("no room for another member");
-      insert(state_.mutable_member(), at, pb::Member());
+        return refuse("no room for another member");
+      insert_at(state_.mutable_member(), at, pb::Member());
       member = state_.mutable_member(at);
     }
     *member = seen;
@@ -184,14 +185,14 @@
     member->set_generation(state_.generation());
   }
   for (const std::string& name : command.lost()) {
-    const int at = place(state_.member(), name);
+    const int at = sorted_position(state_.member(), name);
     if (at < state_.member_size() && state_.member(at).name() == name)
       state_.mutable_member(at)->set_live(false);
   }
-  return kDone;
+  return kApplied;
 }
 
-bool StateMachine::excepted(uint64_t digest, freeze::TimeBounds now) {
+bool StateMachine::consume_exception(uint64_t digest, freeze::TimeBounds now) {
   std::vector<pb::Approval*> valid;
   for (pb::Approval& approval : *state_.mutable_approval()) {
     if (approval.digest() == digest && !approval.used() && now.latest < approval.until() &&
@@ -206,67 +207,70 @@
 
 CommandResult StateMachine::propose_map(const pb::ProposeMap& command, freeze::TimeBounds now,
                                         uint64_t index) {
-  // Said again, as where an answer got lost, it is done.
-  if (from_pb(command.map()) == from_pb(state_.proposed()) || from_pb(command.map()) == map()) return kDone;
+  // A repeated proposal, as after a lost answer, succeeds.
+  if (from_pb(command.map()) == from_pb(state_.proposed()) || from_pb(command.map()) == map())
+    return kApplied;
   if (state_.proposed().epoch() != 0) {
-    return no("a map of epoch " + std::to_string(state_.proposed().epoch()) +
-              " is being prepared; propose again on what comes of it");
+    return refuse("a map of epoch " + std::to_string(state_.proposed().epoch()) +
+                  " is being prepared; propose again on what comes of it");
   }
-  const shards::Map present = map();
+  const shards::Map current = map();
   const shards::Map next = from_pb(command.map());
   const auto all = members();
-  const shards::ValidationContext against{
-      present.epoch == 0 ? nullptr : &present, &all, rules_.map_limits,
+  const shards::ValidationContext context{
+      current.epoch == 0 ? nullptr : &current, &all, rules_.map_limits,
       command.repair() ? shards::MapChangeType::kRepair : shards::MapChangeType::kRebalance};
-  const auto defects = shards::validate(next, against);
-  if (!defects.empty()) {
-    std::string all_of_them;
-    for (const auto& defect : defects) all_of_them += (all_of_them.empty() ? "" : "; ") + defect.message;
-    return no(all_of_them);
+  const auto errors = shards::validate(next, context);
+  if (!errors.empty()) {
+    std::string reasons;
+    for (const auto& error : errors) reasons += (reasons.empty() ? "" : "; ") + error.message;
+    return refuse(reasons);
   }
-  // The first map takes nothing from anybody, and a repair follows a fact.
+  // The first map moves no keys, and a repair must not wait: windows apply to neither.
   bool exception = false;
-  if (!command.repair() && present.epoch != 0) {
-    const auto verdict = freeze::evaluate(calendar_, {freeze::ChangeKind::kMap, {}}, now);
-    if (verdict.closed && !(exception = excepted(digest_of(next), now))) return no(verdict.reason);
+  if (!command.repair() && current.epoch != 0) {
+    const auto decision = freeze::evaluate(calendar_, {freeze::ChangeKind::kMap, {}}, now);
+    if (decision.closed && !(exception = consume_exception(digest_of(next), now)))
+      return refuse(decision.reason);
   }
   state_.set_proposed_excepted(exception);
   *state_.mutable_proposed() = command.map();
   state_.set_proposed_repair(command.repair());
   state_.set_map_index(index);
-  return kDone;
+  return kApplied;
 }
 
-// What was right when it was proposed may not be now: an owner may have died since.
+// The map is validated again: an owner may have been lost since it was proposed.
 CommandResult StateMachine::commit_map(const pb::CommitMap& command, freeze::TimeBounds now, uint64_t index) {
   if (state_.proposed().epoch() == 0 || command.map_index() != state_.map_index()) {
-    return no("it is not the map that is being prepared");
+    return refuse("it is not the map that is being prepared");
   }
-  const shards::Map present = map();
+  const shards::Map current = map();
   const shards::Map next = from_pb(state_.proposed());
   const auto all = members();
-  shards::ValidationContext against{
-      present.epoch == 0 ? nullptr : &present, &all, rules_.map_limits,
+  shards::ValidationContext context{
+      current.epoch == 0 ? nullptr : &current, &all, rules_.map_limits,
       state_.proposed_repair() ? shards::MapChangeType::kRepair : shards::MapChangeType::kRebalance};
-  // A member that came since is due a share that nobody promised it: shares were judged when it was proposed.
-  against.limits.share_factor = 0;
-  // An owner that was lost when the repair was proposed may be back. Its keys were free to go then.
-  if (state_.proposed_repair()) against.current = nullptr;
+  // Shares were validated when the map was proposed. A member that has joined since is not in it, which would
+  // count as a share that is too small.
+  context.limits.share_factor = 0;
+  // An owner that was lost when the repair was proposed may be back. Moving its keys was right at that time.
+  if (state_.proposed_repair()) context.current = nullptr;
   std::string reason;
-  for (const auto& defect : shards::validate(next, against)) {
-    if (reason.empty()) reason = defect.message;
+  for (const auto& error : shards::validate(next, context)) {
+    if (reason.empty()) reason = error.message;
   }
-  if (reason.empty() && next.epoch != present.epoch + 1) reason = "its epoch is not the next";
-  // A window may have begun while it was prepared.
-  if (reason.empty() && !state_.proposed_repair() && !state_.proposed_excepted() && present.epoch != 0) {
+  if (reason.empty() && next.epoch != current.epoch + 1) reason = "its epoch is not the next";
+  // A window may have started since the proposal.
+  if (reason.empty() && !state_.proposed_repair() && !state_.proposed_excepted() && current.epoch != 0) {
     reason = freeze::evaluate(calendar_, {freeze::ChangeKind::kMap, {}}, now).reason;
   }
   if (reason.empty()) state_.mutable_map()->Swap(state_.mutable_proposed());
-  end_proposal(index);
-  return reason.empty() ? kDone : no(reason);
+  clear_proposal(index);
+  return reason.empty() ? kApplied : refuse(reason);
 }
 
-void StateMachine::end_proposal(uint64_t index) {
+void StateMachine::clear_proposal(uint64_t index) {
   state_.clear_proposed();
   state_.clear_proposed_repair();
   state_.clear_proposed_excepted();
@@ -277,20 +281,22 @@
   const freeze::Calendar next = from_pb(command.calendar());
   for (size_t i = 0; i < next.windows.size(); ++i) {
     const auto& window = next.windows[i];
-    if (window.start >= window.end || window.id.empty()) return no("window '" + window.id + "' has no time");
-    if (i > 0 && next.windows[i - 1].id == window.id) return no("window '" + window.id + "' is given twice");
+    if (window.start >= window.end || window.id.empty())
+      return refuse("window '" + window.id + "' has no time");
+    if (i > 0 && next.windows[i - 1].id == window.id)
+      return refuse("window '" + window.id + "' is given twice");
   }
-  if (next.windows.size() > freeze::kMaxWindows) return no("too many windows");
-  const auto against = freeze::edit_violations(calendar_, next, now);
-  if (!against.empty() && !excepted(digest_of(next), now)) {
+  if (next.windows.size() > freeze::kMaxWindows) return refuse("too many windows");
+  const auto violations = freeze::edit_violations(calendar_, next, now);
+  if (!violations.empty() && !consume_exception(digest_of(next), now)) {
     std::string all;
-    for (const std::string& line : against) all += (all.empty() ? "" : "; ") + line;
-    return no(all);
+    for (const std::string& line : violations) all += (all.empty() ? "" : "; ") + line;
+    return refuse(all);
   }
   calendar_ = next;
   *state_.mutable_calendar() = to_pb(next);
   if (state_.rolling().number() != 0 && !state_.rolling_excepted()) {
-    // A window that was declared meanwhile binds a roll-out that is under way, too.
+    // A newly declared window also applies to a roll-out in progress.
     const freeze::Change change{freeze::ChangeKind::kReload, {}};
     int64_t by = state_.rolling_by();
     if (freeze::evaluate(calendar_, change, now).closed) by = std::min(by, now.earliest);
@@ -299,18 +305,18 @@
     }
     state_.set_rolling_by(by);
   }
-  return kDone;
+  return kApplied;
 }
 
 CommandResult StateMachine::approve(const pb::Approve& command, freeze::TimeBounds now) {
   if (!calendar_.approvers.contains(command.approver())) {
-    return no("'" + command.approver() + "' is not among the approvers of the calendar");
+    return refuse("'" + command.approver() + "' is not among the approvers of the calendar");
   }
   if (command.minutes() == 0 || command.minutes() > rules_.max_exception_minutes) {
-    return no("minutes are out of range; expected 1 to " + std::to_string(rules_.max_exception_minutes));
+    return refuse("minutes are out of range; expected 1 to " + std::to_string(rules_.max_exception_minutes));
   }
   auto* all = state_.mutable_approval();
-  // What is over makes room; by the earliest time that it may be, so that none is dropped too soon.
+  // Drops expired approvals, by the earliest possible time, so that none is dropped too soon.
   for (int i = all->size() - 1; i >= 0; --i) {
     if (now.earliest >= all->Get(i).until()) all->DeleteSubrange(i, 1);
   }
@@ -321,40 +327,42 @@
   const int at = static_cast<int>(std::lower_bound(all->begin(), all->end(), command, before) - all->begin());
   if (at < all->size() && all->Get(at).digest() == command.digest() &&
       all->Get(at).approver() == command.approver()) {
-    if (all->Get(at).used()) return no("its exception was used; a change takes a new one once that is over");
-    return kDone;  // the first word counts: said again it does not last longer
+    if (all->Get(at).used())
+      return refuse("its exception was used; a change takes a new one once that is over");
+    return kApplied;  // a repeated approval does not extend the first one
   }
-  if (all->size() >= static_cast<int>(rules_.max_approvals)) return no("no room for another approval");
+  if (all->size() >= static_cast<int>(rules_.max_approvals)) return refuse("no room for another approval");
   pb::Approval approval;
   approval.set_digest(command.digest());
   approval.set_approver(command.approver());
   approval.set_until(until);
-  insert(all, at, std::move(approval));
-  return kDone;
+  insert_at(all, at, std::move(approval));
+  return kApplied;
 }
 
 CommandResult StateMachine::propose_version(const pb::ProposeVersion& command, freeze::TimeBounds now) {
-  if (command.text().size() > rules_.max_version_bytes) return no("the configuration is too large");
+  if (command.text().size() > rules_.max_version_bytes) return refuse("the configuration is too large");
   if (command.digest() != digest_of(command.text()))
-    return no("the configuration is not what its digest says");
+    return refuse("the configuration is not what its digest says");
   if (state_.rolling().number() != 0) {
-    if (state_.rolling().digest() == command.digest()) return kDone;
-    return no("version " + std::to_string(state_.rolling().number()) + " is on its way; wait for its end");
+    if (state_.rolling().digest() == command.digest()) return kApplied;
+    return refuse("version " + std::to_string(state_.rolling().number()) +
+                  " is on its way; wait for its end");
   }
   const freeze::Change change{freeze::ChangeKind::kReload, {}};
-  const auto verdict = freeze::evaluate(calendar_, change, now);
+  const auto decision = freeze::evaluate(calendar_, change, now);
   bool exception = false;
-  if (verdict.closed) {
-    exception = excepted(command.digest(), now);
-    if (!exception) return no(verdict.reason);
+  if (decision.closed) {
+    exception = consume_exception(command.digest(), now);
+    if (!exception) return refuse(decision.reason);
   }
-  if (state_.version().number() != 0 && state_.version().digest() == command.digest()) return kDone;
+  if (state_.version().number() != 0 && state_.version().digest() == command.digest()) return kApplied;
   int64_t by = now.latest + rules_.rollout_timeout_us;
-  // Windows whose start lies within the bounds are in force by the verdict above.
+  // A window whose start lies within the time bounds counts as in force in the decision above.
   if (const auto start = freeze::next_window_start(calendar_, change, now.latest)) {
     if (*start - rules_.guard_us <= now.latest && !exception) {
-      return no("a window starts at " + freeze::format_instant(*start) +
-                "; a roll-out has to be over before it: wait until the window's end");
+      return refuse("a window starts at " + freeze::format_instant(*start) +
+                    "; a roll-out has to be over before it: wait until the window's end");
     }
     if (!exception) by = std::min(by, *start - rules_.guard_us);
   }
@@ -365,31 +373,31 @@
   state_.set_rolling_by(by);
   state_.set_rolling_excepted(exception);
   state_.set_last_number(rolling->number());
-  return kDone;
+  return kApplied;
 }
 
-// By the latest that it may be: what is over only perhaps is not over in time.
+// Compares the latest possible time: a roll-out that may have missed its deadline counts as late.
 CommandResult StateMachine::finish_version(const pb::FinishVersion& command, freeze::TimeBounds now) {
   if (state_.rolling().number() == 0 || state_.rolling().number() != command.number()) {
-    return no("it is not the version on its way");
+    return refuse("it is not the version on its way");
   }
   if (now.latest > state_.rolling_by() - rules_.guard_us / 2)
-    return no("its time is over: it is to be taken back");
+    return refuse("its time is over: it is to be taken back");
   state_.mutable_version()->Swap(state_.mutable_rolling());
   state_.clear_rolling();
   state_.clear_rolling_by();
   state_.clear_rolling_excepted();
-  return kDone;
+  return kApplied;
 }
 
-CommandResult StateMachine::take_back(const pb::TakeBack& command) {
+CommandResult StateMachine::end_rollout(const pb::TakeBack& command) {
   if (state_.rolling().number() == 0 || state_.rolling().number() != command.number()) {
-    return no("it is not the version on its way");
+    return refuse("it is not the version on its way");
   }
   state_.clear_rolling();
   state_.clear_rolling_by();
   state_.clear_rolling_excepted();
-  return kDone;
+  return kApplied;
 }
 
 }  // namespace umberhoist::reg
--- a/register/raft.cpp
+++ b/register/raft.cpp
@@ -21,7 +21,7 @@
 }
 
 std::string encode(const raft_configuration& configuration) {
-  pb::RaftMessage out;  // its entries serve as a list: index, role, address
+  pb::RaftMessage out;  // one entry per server: index holds the id, type the role
   for (unsigned i = 0; i < configuration.n; ++i) {
     pb::LogEntry* server = out.add_entry();
     server->set_index(configuration.servers[i].id);
@@ -44,9 +44,9 @@
   return true;
 }
 
-// The library frees a batch once none of its entries is in use.
+// Allocates all payloads as one batch, which the library frees once none of its entries is in use.
 template <class Entries, class Get>
-raft_entry* entries_of(const Entries& from, Get get) {
+raft_entry* make_raft_entries(const Entries& from, Get get) {
   if (from.empty()) return nullptr;
   size_t bytes = 0;
   for (const auto& entry : from) bytes += entry.data_size;
@@ -65,7 +65,7 @@
   return out;
 }
 
-struct Piece {
+struct EntryData {
   const char* data;
   size_t data_size;
 };
@@ -83,13 +83,14 @@
   ::raft raft{};
   raft_io_tick_cb on_tick = nullptr;
   raft_io_recv_cb on_receive = nullptr;
-  std::deque<std::function<void()>> due;  // the library wants its answers after its calls have returned
+  std::deque<std::function<void()>>
+      deferred;  // callbacks may run only after the call that requested them has returned
   bool running = false;
   bool started = false;
   bool closed = false;
   bool draining = false;
   raft_change change{};
-  bool changing = false;
+  bool change_in_progress = false;
 
   Impl(Storage& s, const RaftOptions& o, Hooks h, int64_t now)
       : storage(s), options(o), hooks(std::move(h)), now_ms(now), random(o.seed) {}
@@ -97,9 +98,9 @@
   void drain() {
     if (draining) return;
     draining = true;
-    while (!due.empty()) {
-      const auto next = std::move(due.front());
-      due.pop_front();
+    while (!deferred.empty()) {
+      const auto next = std::move(deferred.front());
+      deferred.pop_front();
       next();
     }
     draining = false;
@@ -110,7 +111,7 @@
 
   static int init(raft_io*, raft_id, const char*) { return 0; }
   static void close(raft_io* io, raft_io_close_cb cb) {
-    of(io)->due.push_back([io, cb] {
+    of(io)->deferred.push_back([io, cb] {
       if (cb != nullptr) cb(io);
     });
   }
@@ -120,19 +121,19 @@
     *term = s.term();
     *voted_for = s.voted_for();
     *snapshot = nullptr;
-    if (s.snapshot()) *snapshot = snapshot_of(*s.snapshot());
+    if (s.snapshot()) *snapshot = make_raft_snapshot(*s.snapshot());
     if (s.snapshot() && *snapshot == nullptr) return RAFT_MALFORMED;
     *start = s.first_index();
     *count = s.entries().size();
-    std::vector<Piece> pieces;
-    for (const StoredEntry& entry : s.entries()) pieces.push_back({entry.data.data(), entry.data.size()});
-    *entries = entries_of(pieces, [&](size_t i, raft_entry& to) {
+    std::vector<EntryData> entry_data;
+    for (const StoredEntry& entry : s.entries()) entry_data.push_back({entry.data.data(), entry.data.size()});
+    *entries = make_raft_entries(entry_data, [&](size_t i, raft_entry& to) {
       to.term = s.entries()[i].term;
       to.type = s.entries()[i].type;
     });
     return 0;
   }
-  static raft_snapshot* snapshot_of(const StoredSnapshot& from) {
+  static raft_snapshot* make_raft_snapshot(const StoredSnapshot& from) {
     raft_configuration configuration;
     if (!decode(from.configuration, configuration)) return nullptr;
     auto* out = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
@@ -181,7 +182,7 @@
       to.push_back(std::move(entry));
     }
     const int status = self->storage.append(to) ? 0 : RAFT_IOERR;
-    self->due.push_back([request, cb, status] { cb(request, status); });
+    self->deferred.push_back([request, cb, status] { cb(request, status); });
     return 0;
   }
   static int truncate(raft_io* io, raft_index from) {
@@ -199,13 +200,14 @@
       to.data.append(static_cast<const char*>(snapshot->bufs[i].base), snapshot->bufs[i].len);
     }
     const int status = self->storage.put_snapshot(std::move(to), trailing) ? 0 : RAFT_IOERR;
-    self->due.push_back([request, cb, status] { cb(request, status); });
+    self->deferred.push_back([request, cb, status] { cb(request, status); });
     return 0;
   }
   static int snapshot_get(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb cb) {
     Impl* self = of(io);
-    self->due.push_back([self, request, cb] {
-      raft_snapshot* found = self->storage.snapshot() ? snapshot_of(*self->storage.snapshot()) : nullptr;
+    self->deferred.push_back([self, request, cb] {
+      raft_snapshot* found =
+          self->storage.snapshot() ? make_raft_snapshot(*self->storage.snapshot()) : nullptr;
       cb(request, found, found == nullptr ? RAFT_NOTFOUND : 0);
     });
     return 0;
@@ -217,7 +219,7 @@
   static int send(raft_io* io, raft_io_send* request, const raft_message* message, raft_io_send_cb cb) {
     Impl* self = of(io);
     self->hooks.send(to_pb(*message, self->raft.id));
-    self->due.push_back([request, cb] {
+    self->deferred.push_back([request, cb] {
       if (cb != nullptr) cb(request, 0);
     });
     return 0;
@@ -278,7 +280,7 @@
     return to;
   }
 
-  // False: not to be given to the library, which trusts what it is given.
+  // False if the message must not reach the library, which does not validate its input.
   bool from_pb(const pb::RaftMessage& from, raft_message& to, std::string& address) {
     to = {};
     to.type = static_cast<unsigned short>(from.type());
@@ -304,16 +306,16 @@
         to.append_entries.prev_log_index = from.prev_log_index();
         to.append_entries.prev_log_term = from.prev_log_term();
         to.append_entries.leader_commit = from.leader_commit();
-        std::vector<Piece> pieces;
+        std::vector<EntryData> entry_data;
         for (const pb::LogEntry& entry : from.entry()) {
           if (entry.type() < RAFT_COMMAND || entry.type() > RAFT_CHANGE ||
               entry.data().size() > kMaxEntryBytes) {
             return false;
           }
-          pieces.push_back({entry.data().data(), entry.data().size()});
+          entry_data.push_back({entry.data().data(), entry.data().size()});
         }
-        to.append_entries.n_entries = static_cast<unsigned>(pieces.size());
-        to.append_entries.entries = entries_of(pieces, [&](size_t i, raft_entry& entry) {
+        to.append_entries.n_entries = static_cast<unsigned>(entry_data.size());
+        to.append_entries.entries = make_raft_entries(entry_data, [&](size_t i, raft_entry& entry) {
           entry.term = from.entry(static_cast<int>(i)).term();
           entry.type = static_cast<unsigned short>(from.entry(static_cast<int>(i)).type());
         });
@@ -351,7 +353,7 @@
     of(fsm)->hooks.apply({static_cast<const char*>(buffer->base), buffer->len});
     return 0;
   }
-  static int take_snapshot(raft_fsm* fsm, raft_buffer** buffers, unsigned* count) {
+  static int encode_state(raft_fsm* fsm, raft_buffer** buffers, unsigned* count) {
     const std::string bytes = of(fsm)->hooks.snapshot();
     *buffers = static_cast<raft_buffer*>(raft_calloc(1, sizeof(raft_buffer)));
     (*buffers)[0].base = copy(bytes.data(), bytes.size());
@@ -389,7 +391,7 @@
   i.fsm.version = 1;
   i.fsm.data = &i;
   i.fsm.apply = Impl::apply;
-  i.fsm.snapshot = Impl::take_snapshot;
+  i.fsm.snapshot = Impl::encode_state;
   i.fsm.restore = Impl::restore;
   i.running =
       raft_init(&i.raft, &i.io, &i.fsm, storage.identity(), std::to_string(storage.identity()).c_str()) == 0;
@@ -497,15 +499,16 @@
   return out;
 }
 
-bool RaftServer::is_changing_servers() const { return impl_->changing; }
+bool RaftServer::is_changing_servers() const { return impl_->change_in_progress; }
 
 void RaftServer::reconcile_voter(uint64_t identity) {
-  if (!is_leader() || impl_->changing) return;
+  if (!is_leader() || impl_->change_in_progress) return;
   const auto change = [this](auto call) {
-    impl_->changing = true;
+    impl_->change_in_progress = true;
     impl_->change.data = impl_.get();
-    const int rv = call([](raft_change* done, int) { static_cast<Impl*>(done->data)->changing = false; });
-    if (rv != 0) impl_->changing = false;
+    const int rv =
+        call([](raft_change* done, int) { static_cast<Impl*>(done->data)->change_in_progress = false; });
+    if (rv != 0) impl_->change_in_progress = false;
     impl_->drain();
   };
   ::raft* raft = &impl_->raft;
--- a/register/raft.h
+++ b/register/raft.h
@@ -1,5 +1,5 @@
-// One server of the consensus library, with our storage, our frames, our clock and our random numbers beneath
-// it. The library is asked for nothing else: whole fleets of these run on made-up time.
+// One server of the C Raft library (raft.h). Storage, transport, clock and random numbers are supplied by the
+// caller, so that tests can run a whole fleet on simulated time.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,14 @@
 
 namespace umberhoist::reg {
 
-constexpr uint16_t kCommandEntryType = 1;  // the library's type of an entry that holds a command
+constexpr uint16_t kCommandEntryType = 1;  // the library's type of entries that hold a command
 
 struct RaftOptions {
   unsigned election_timeout_ms =
-      1000;  // without a word from the leader for one to two of these, another is elected
+      1000;  // an election starts after one to two of these without a message from the leader
   unsigned heartbeat_interval_ms = 200;
   unsigned snapshot_interval = 256;  // commands
-  unsigned trailing_entries = 64;    // commands that are kept behind a snapshot, for those who lag a little
+  unsigned trailing_entries = 64;    // commands kept before a snapshot, for followers that lag a little
   uint64_t seed = 1;
 };
 
@@ -28,7 +28,8 @@
  public:
   struct Hooks {
     std::function<void(register_pb::RaftMessage)> send;
-    std::function<void(const std::string& command)> apply;  // in order, once each while this server runs
+    std::function<void(const std::string& command)>
+        apply;  // in log order, once per command while this server runs
     std::function<std::string()> snapshot;
     std::function<void(const std::string& state)> restore;
   };
@@ -36,7 +37,8 @@
     uint64_t identity = 0;
     bool voter = false;
   };
-  // Called once: 0 and applied, or a code of the library: nothing is known of what becomes of it.
+  // Called once. 0: applied. Otherwise an error code of the library; the command may still be committed
+  // later.
   using CompletionCallback = std::function<void(int status)>;
 
   RaftServer(Storage& storage, const RaftOptions& options, Hooks hooks, int64_t now_ms);
@@ -44,10 +46,10 @@
   RaftServer(const RaftServer&) = delete;
   RaftServer& operator=(const RaftServer&) = delete;
 
-  // As a snapshot holds them.
+  // Configuration with these voters, in the encoding of StoredSnapshot::configuration.
   static std::string encode_configuration(const std::vector<uint64_t>& voters);
 
-  // Of a new fleet: to be called before start. Not for a newcomer.
+  // Writes the initial configuration of a new fleet. Call before start(); not for a newcomer.
   bool bootstrap(const std::vector<uint64_t>& voters);
   bool start();
 
@@ -56,11 +58,12 @@
   void propose(const std::string& command, CompletionCallback done);
 
   bool is_leader() const;
-  uint64_t leader_identity() const;  // identity; 0: none is known
+  uint64_t leader_identity() const;  // 0: unknown
   uint64_t term() const;
   std::vector<Server> servers() const;
-  bool is_changing_servers() const;  // a change of servers is on its way
-  // One step towards: `identity` votes, and no other identity of its slot is among the servers.
+  bool is_changing_servers() const;  // a configuration change is in progress
+  // Starts the next configuration change towards: `identity` is a voter and no other identity of its slot is
+  // in the configuration. No effect unless this server leads and no change is in progress.
   void reconcile_voter(uint64_t identity);
 
  private:
--- a/register/storage.h
+++ b/register/storage.h
@@ -1,12 +1,13 @@
-// What a voter has promised, on the seam to the file system: its identity, term and vote, its log and its
-// snapshot. Nothing that returned true is ever forgotten silently: what is missing or damaged of it is told
-// apart from what a crash left unfinished (docs/design/register.md, "The folder").
+// Durable state of a voter: its identity, term, vote, log and snapshot, on top of state::Files. What a call
+// that returned true has written is never lost silently: missing or damaged data is told apart from a write
+// that a crash interrupted (docs/design/register.md, "The folder").
 //
 // Files:
-//   vote-a, vote-b   the same record in two copies: a flipped byte or a torn write costs one of them
-//   log-N            commands from a base on, in frames; its promised length stands in the vote record
+//   vote-a, vote-b   the vote record, in two copies: a flipped byte or a torn write damages only one of them
+//   log-N            log entries, in frames; the vote record holds its durable length
 //   snapshot-N       the state at command N, in one frame
-//   peers            what others were seen to have promised, so that they can be told if they forget
+//   peers            durable writes seen of each other voter, so that it can be told if its folder is out of
+//   date
 #pragma once
 
 #include <cstdint>
@@ -37,34 +38,34 @@
 };
 
 constexpr uint32_t kUnconfirmedIncarnationStep =
-    1000;  // to an incarnation well past any that was not heard of
+    1000;  // skips incarnations that may exist without being known here
 constexpr size_t kMaxEntryBytes = 1024 * 1024;
 constexpr size_t kMaxSnapshotBytes = 16 * 1024 * 1024;
 
 class Storage {
  public:
   enum class FolderState {
-    kEmpty,  // no voter was here
+    kEmpty,  // no vote record and no log
     kIntact,
-    kDamaged,  // something was promised here that cannot be read any more
+    kDamaged,  // durable data cannot be read any more
     kForeign,  // another relay's folder
   };
 
-  // Reads the folder; changes nothing in it but what a crash left unfinished.
+  // Reads the folder. Changes it only to complete or undo a write that a crash interrupted.
   Storage(state::Files& files, std::string name);
 
-  FolderState folder_state() const { return found_; }
-  const std::string& diagnostic() const { return finding_; }  // one line, if anything is to be said
+  FolderState folder_state() const { return folder_state_; }
+  const std::string& diagnostic() const { return diagnostic_; }  // one line on what is wrong; empty: nothing
 
-  // A clean beginning under this identity: all earlier files are put aside, under names that begin with
-  // "aside-", of which the newest set is kept.
+  // Starts with empty state under this identity. Earlier files are renamed to "aside-..."; only the newest
+  // such set is kept.
   bool initialize(uint64_t generation, uint64_t identity);
 
   uint64_t generation() const { return vote_.generation; }
   uint64_t identity() const { return vote_.identity; }
-  uint64_t durable_writes() const { return vote_.promises; }  // how often something was made to last
-  // As they were found. What is promised since says nothing of whether the folder is the newest one.
-  uint64_t loaded_durable_writes() const { return loaded_promises_; }
+  uint64_t durable_writes() const { return vote_.durable_writes; }  // number of completed durable writes
+  // The count as loaded: later writes say nothing about whether the folder was up to date.
+  uint64_t loaded_durable_writes() const { return loaded_durable_writes_; }
   uint64_t term() const { return vote_.term; }
   uint64_t voted_for() const { return vote_.voted_for; }
   const std::deque<StoredEntry>& entries() const { return entries_; }
@@ -72,20 +73,20 @@
   uint64_t first_index() const { return entries_.empty() ? last_index() + 1 : entries_.front().index; }
   uint64_t last_index() const;
 
-  // Each makes it last before it returns true. False: nothing may be taken as promised, and nothing further
-  // is tried: the disk did not do what it was told, and what it holds is known only after a new start.
+  // Each returns true once its change is durable. False: a disk operation failed, the change may or may not
+  // be on disk, and all further calls fail until the folder is read again.
   bool set_term(uint64_t term);
   bool set_vote(uint64_t candidate);
   bool append(const std::vector<StoredEntry>& entries);
-  bool truncate(uint64_t from);  // this entry and all that follow
-  // All entries up to it go but the last `trailing` ones.
+  bool truncate(uint64_t from);  // removes this entry and all later ones
+  // Removes the entries up to the snapshot, except the last `trailing` ones.
   bool put_snapshot(StoredSnapshot snapshot, uint64_t trailing);
   bool failed() const { return failed_; }
 
-  // What another was seen to have promised; grows. Lasts before true.
-  bool record_peer(uint64_t identity, uint64_t promises);
+  // Highest count of durable writes seen of another voter. Durable when it returns true.
+  bool record_peer(uint64_t identity, uint64_t durable_writes);
   uint64_t peer_durable_writes(uint64_t identity) const;
-  // The highest incarnation seen of a slot, as identity; 0: none.
+  // The identity with the highest incarnation seen of a slot; 0: none.
   uint64_t newest_identity(uint32_t slot) const;
   const std::map<uint64_t, uint64_t>& peers() const { return peers_; }
 
@@ -96,48 +97,49 @@
   static constexpr uint32_t incarnation_of(uint64_t identity) { return identity & 0xffffff; }
 
  private:
-  struct Vote {
-    uint64_t promises = 0;
+  struct VoteRecord {
+    uint64_t durable_writes = 0;
     uint64_t generation = 0;
     uint64_t identity = 0;
     uint64_t term = 0;
     uint64_t voted_for = 0;
-    uint64_t log = 0;        // number of the log file
-    uint64_t log_bytes = 0;  // of it that are promised
-    uint64_t snapshot = 0;   // index of the snapshot; 0: none
+    uint64_t log_number = 0;         // number of the log file
+    uint64_t durable_log_bytes = 0;  // of the log file
+    uint64_t snapshot_index = 0;     // index of the snapshot; 0: none
   };
 
   void load();
   void load_peers();
   bool load_log();
   bool load_snapshot();
-  std::optional<Vote> read_vote(const std::string& name, bool& others);
-  bool promise();  // the vote record as it is now, in both copies
-  bool write_copy(const std::string& name);
-  bool start_log(uint64_t number);  // with what entries_ holds
-  bool write_whole(const std::string& name, const std::string& bytes);
-  std::optional<std::string> read_whole(const std::string& name, size_t most);
+  std::optional<VoteRecord> read_vote_copy(const std::string& name, bool& foreign);
+  bool write_vote_record();  // writes the vote record in both copies
+  bool write_vote_copy(const std::string& name);
+  bool start_log(uint64_t number);  // with the content of entries_
+  bool write_file(const std::string& name, const std::string& bytes);
+  std::optional<std::string> read_file(const std::string& name, size_t max_bytes);
   bool write(int file, std::string_view bytes);
   bool fail(const char* what);
 
   state::Files& files_;
   std::string name_;
-  FolderState found_ = FolderState::kEmpty;
-  std::string finding_;
-  Vote vote_;
+  FolderState folder_state_ = FolderState::kEmpty;
+  std::string diagnostic_;
+  VoteRecord vote_;
   std::deque<StoredEntry> entries_;
   std::optional<StoredSnapshot> snapshot_;
   std::map<uint64_t, uint64_t> peers_;
   size_t peers_bytes_ = 0;
-  uint64_t loaded_promises_ = 0;
+  uint64_t loaded_durable_writes_ = 0;
   int log_file_ = -1;
   int peers_file_ = -1;
   bool failed_ = false;
 };
 
-// One frame of a file: length, checksum, payload. Nothing: torn, damaged or over `most`. Advances `at`.
+// Frame of a file: length, checksum, payload. read_storage_frame advances `at` past it, or returns nullopt if
+// it is torn, damaged or larger than `max_bytes`.
 std::string encode_storage_frame(std::string_view payload);
-std::optional<std::string> read_storage_frame(std::string_view bytes, size_t& at, size_t most);
+std::optional<std::string> read_storage_frame(std::string_view bytes, size_t& at, size_t max_bytes);
 std::string encode_entry(const StoredEntry& entry);
 std::optional<StoredEntry> decode_entry(std::string_view payload);
 std::string encode_snapshot(const StoredSnapshot& snapshot);
--- a/tests/register/planted.cmake
+++ b/tests/register/planted.cmake
@@ -31,8 +31,8 @@
   "return other->last < range->first;"
   "return other->last < range->first + (planted::is(\"overlap-of-one-key\") ? 1 : 0);")
 umberhoist_plant(register/machine.cpp
-  "for (const auto& defect : shards::validate(next, against)) {"
-  "for (const auto& defect : shards::validate(next, against)) {
+  "for (const auto& error : shards::validate(next, context)) {"
+  "for (const auto& error : shards::validate(next, context)) {
     if (planted::is(\"check-not-repeated\")) break;")
 umberhoist_plant(register/machine.cpp
   "approval->set_used(true);"
