--- a/fleet/config.cpp
+++ b/fleet/config.cpp
@@ -16,89 +16,88 @@
  public:
   explicit Parser(std::string file) : file_(std::move(file)) {}
 
-  Config run(const std::string& text) {
+  Config parse(const std::string& text) {
     toml::table root;
     try {
       root = state::parse_toml(text);
     } catch (const toml::parse_error& error) {
-      fault(static_cast<int>(error.source().begin.line), std::string(error.description()));
+      fail(static_cast<int>(error.source().begin.line), std::string(error.description()));
     }
-    known(root, {"name", "id", "zone", "weight", "listen", "folder", "connections", "queued_bytes", "voter",
-                 "timing", "bounds"});
+    check_keys(root, {"name", "id", "zone", "weight", "listen", "folder", "connections", "queued_bytes",
+                      "voter", "timing", "bounds"});
     reg::NodeOptions& node = out_.node;
-    node.name = name(root);
-    node.slot = static_cast<uint32_t>(number(root, "id", 1, 65535));
-    node.zone = root.contains("zone") ? word(root, "zone") : "";
-    if (root.contains("weight")) node.weight = real(root, "weight", 0, 1000);
-    out_.listen = address(root, "listen");
-    out_.folder = word(root, "folder", 4096);
+    node.name = read_name(root);
+    node.slot = static_cast<uint32_t>(read_integer(root, "id", 1, 65535));
+    node.zone = root.contains("zone") ? read_string(root, "zone") : "";
+    if (root.contains("weight")) node.weight = read_real(root, "weight", 0, 1000);
+    out_.listen = read_address(root, "listen");
+    out_.folder = read_string(root, "folder", 4096);
     if (root.contains("connections"))
-      out_.max_connections = static_cast<size_t>(number(root, "connections", 4, 4096));
+      out_.max_connections = static_cast<size_t>(read_integer(root, "connections", 4, 4096));
     if (root.contains("queued_bytes")) {
-      out_.max_queued_bytes = static_cast<size_t>(number(root, "queued_bytes", 65'536, 1 << 30));
+      out_.max_queued_bytes = static_cast<size_t>(read_integer(root, "queued_bytes", 65'536, 1 << 30));
     }
-    voters(root);
-    if (const auto* timing = section(root, "timing")) times(*timing);
-    if (const auto* bounds = section(root, "bounds")) caps(*bounds);
-    consistent(root);
+    read_voters(root);
+    if (const auto* timing = find_table(root, "timing")) read_timing(*timing);
+    if (const auto* bounds = find_table(root, "bounds")) read_bounds(*bounds);
+    check_consistency(root);
     return out_;
   }
 
  private:
-  [[noreturn]] void fault(int line, const std::string& what) const {
+  [[noreturn]] void fail(int line, const std::string& what) const {
     throw std::invalid_argument(file_ + ":" + std::to_string(line) + ": " + what);
   }
   static int line(const toml::node& node) { return std::max(1, static_cast<int>(node.source().begin.line)); }
-  const toml::node& need(const toml::table& table, const char* key, const std::string& expected) const {
+  const toml::node& require(const toml::table& table, const char* key, const std::string& expected) const {
     const auto* node = table.get(key);
-    if (node == nullptr) fault(line(table), std::string(key) + " is missing; expected " + expected);
+    if (node == nullptr) fail(line(table), std::string(key) + " is missing; expected " + expected);
     return *node;
   }
-  void known(const toml::table& table, const std::set<std::string_view>& keys) const {
+  void check_keys(const toml::table& table, const std::set<std::string_view>& keys) const {
     for (const auto& [key, value] : table) {
-      if (!keys.contains(key.str())) fault(line(value), "'" + std::string(key) + "' is not known here");
+      if (!keys.contains(key.str())) fail(line(value), "'" + std::string(key) + "' is not known here");
     }
   }
-  const toml::table* section(const toml::table& root, const char* key) const {
+  const toml::table* find_table(const toml::table& root, const char* key) const {
     const auto* node = root.get(key);
     if (node != nullptr && !node->is_table())
-      fault(line(*node), std::string(key) + " is wrong; expected a table");
+      fail(line(*node), std::string(key) + " is wrong; expected a table");
     return node == nullptr ? nullptr : node->as_table();
   }
-  std::string word(const toml::table& table, const char* key, size_t most = 64) const {
-    const std::string expected = "1 to " + std::to_string(most) + " bytes in quotes";
-    const auto& node = need(table, key, expected);
+  std::string read_string(const toml::table& table, const char* key, size_t max = 64) const {
+    const std::string expected = "1 to " + std::to_string(max) + " bytes in quotes";
+    const auto& node = require(table, key, expected);
     const auto text = node.value_exact<std::string>();
-    if (!text || text->empty() || text->size() > most)
-      fault(line(node), std::string(key) + " is wrong; expected " + expected);
+    if (!text || text->empty() || text->size() > max)
+      fail(line(node), std::string(key) + " is wrong; expected " + expected);
     return *text;
   }
-  std::string name(const toml::table& table) const {
-    const std::string out = word(table, "name");
+  std::string read_name(const toml::table& table) const {
+    const std::string out = read_string(table, "name");
     if (!state::is_printable_ascii(out))
-      fault(line(*table.get("name")), "name is wrong; expected plain letters, no blanks");
+      fail(line(*table.get("name")), "name is wrong; expected plain letters, no blanks");
     return out;
   }
-  int64_t number(const toml::table& table, const char* key, int64_t least, int64_t most) const {
-    const std::string expected =
-        "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
-    const auto& node = need(table, key, expected);
+  int64_t read_integer(const toml::table& table, const char* key, int64_t min, int64_t max) const {
+    const std::string expected = "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
+    const auto& node = require(table, key, expected);
     const auto value = node.value_exact<int64_t>();
-    if (!value || *value < least || *value > most)
-      fault(line(node), std::string(key) + " is wrong; expected " + expected);
+    if (!value || *value < min || *value > max)
+      fail(line(node), std::string(key) + " is wrong; expected " + expected);
     return *value;
   }
-  double real(const toml::table& table, const char* key, double least, double most) const {
-    const std::string expected = "a number from " + std::to_string(least) + " to " + std::to_string(most);
-    const auto& node = need(table, key, expected);
+  double read_real(const toml::table& table, const char* key, double min, double max) const {
+    const std::string expected = "a number from " + std::to_string(min) + " to " + std::to_string(max);
+    const auto& node = require(table, key, expected);
     const auto value = node.value<double>();
-    if (!value || !(*value >= least && *value <= most))
-      fault(line(node), std::string(key) + " is wrong; expected " + expected);
+    if (!value || !(*value >= min && *value <= max))
+      fail(line(node), std::string(key) + " is wrong; expected " + expected);
     return *value;
   }
-  tcp::endpoint address(const toml::table& table, const char* key) const {
+  tcp::endpoint read_address(const toml::table& table, const char* key) const {
     const std::string expected = "an IPv4 address and a port, as \"127.0.0.1:7101\"";
-    const auto& node = need(table, key, expected);
+    const auto& node = require(table, key, expected);
     const auto text = node.value_exact<std::string>();
     const size_t colon = text ? text->rfind(':') : std::string::npos;
     boost::system::error_code error;
@@ -108,43 +107,43 @@
       const int port = std::stoi(text->substr(colon + 1));
       if (!error && port <= 65535) return {host, static_cast<uint16_t>(port)};
     }
-    fault(line(node), std::string(key) + " is wrong; expected " + expected);
+    fail(line(node), std::string(key) + " is wrong; expected " + expected);
   }
 
-  void voters(const toml::table& root) {
-    const auto& node = need(root, "voter", "three or five tables [[voter]]");
+  void read_voters(const toml::table& root) {
+    const auto& node = require(root, "voter", "three or five tables [[voter]]");
     if (!node.is_array_of_tables() || (node.as_array()->size() != 3 && node.as_array()->size() != 5)) {
-      fault(line(node), "voter is wrong; expected three or five tables [[voter]]");
+      fail(line(node), "voter is wrong; expected three or five tables [[voter]]");
     }
     std::set<std::string> names;
     std::set<uint32_t> ids;
     for (const auto& item : *node.as_array()) {
       const toml::table& table = *item.as_table();
-      known(table, {"name", "id", "address"});
-      reg::Voter peer;
-      peer.name = name(table);
-      peer.slot = static_cast<uint32_t>(number(table, "id", 1, 65535));
-      if (!names.insert(peer.name).second) fault(line(table), "voter '" + peer.name + "' is given twice");
-      if (!ids.insert(peer.slot).second)
-        fault(line(table), "id " + std::to_string(peer.slot) + " is given twice");
-      const bool own_name = peer.name == out_.node.name, own_id = peer.slot == out_.node.slot;
+      check_keys(table, {"name", "id", "address"});
+      reg::Voter voter;
+      voter.name = read_name(table);
+      voter.slot = static_cast<uint32_t>(read_integer(table, "id", 1, 65535));
+      if (!names.insert(voter.name).second) fail(line(table), "voter '" + voter.name + "' is given twice");
+      if (!ids.insert(voter.slot).second)
+        fail(line(table), "id " + std::to_string(voter.slot) + " is given twice");
+      const bool own_name = voter.name == out_.node.name, own_id = voter.slot == out_.node.slot;
       if (own_name != own_id) {
-        fault(line(table), "voter '" + peer.name + "' has id " + std::to_string(peer.slot) +
-                               ", and this relay is '" + out_.node.name + "' with id " +
-                               std::to_string(out_.node.slot) + "; expected both the same or both unlike");
+        fail(line(table), "voter '" + voter.name + "' has id " + std::to_string(voter.slot) +
+                              ", and this relay is '" + out_.node.name + "' with id " +
+                              std::to_string(out_.node.slot) + "; expected both the same or both unlike");
       }
-      out_.voters[peer.name] = address(table, "address");
-      out_.node.voters.push_back(std::move(peer));
+      out_.voters[voter.name] = read_address(table, "address");
+      out_.node.voters.push_back(std::move(voter));
     }
   }
 
-  void times(const toml::table& table) {
-    known(table, {"beat_ms", "lease_ms", "dead_ms", "election_ms", "heartbeat_ms", "confirm_ms", "settle_ms",
-                  "propose_ms", "clock_slack_ms"});
+  void read_timing(const toml::table& table) {
+    check_keys(table, {"beat_ms", "lease_ms", "dead_ms", "election_ms", "heartbeat_ms", "confirm_ms",
+                       "settle_ms", "propose_ms", "clock_slack_ms"});
     reg::NodeOptions& node = out_.node;
     const auto set = [&](const char* key, auto& to, int64_t unit = 1) {
       using Number = std::remove_reference_t<decltype(to)>;
-      if (table.contains(key)) to = static_cast<Number>(number(table, key, 10, 600'000) * unit);
+      if (table.contains(key)) to = static_cast<Number>(read_integer(table, key, 10, 600'000) * unit);
     };
     set("beat_ms", node.relay_heartbeat_ms);
     set("lease_ms", node.lease_ms);
@@ -157,39 +156,42 @@
     set("clock_slack_ms", node.clock_slack_us, 1000);
   }
 
-  void caps(const toml::table& table) {
-    known(table,
-          {"share_factor", "most_moved", "zones_apart", "guard_s", "rollout_s", "members", "snapshot_every"});
+  void read_bounds(const toml::table& table) {
+    check_keys(table, {"share_factor", "most_moved", "zones_apart", "guard_s", "rollout_s", "members",
+                       "snapshot_every"});
     reg::StateMachineRules& rules = out_.node.rules;
-    if (table.contains("share_factor")) rules.map_limits.share_factor = real(table, "share_factor", 1, 1000);
-    if (table.contains("most_moved")) rules.map_limits.max_moved_share = real(table, "most_moved", 0, 1);
+    if (table.contains("share_factor"))
+      rules.map_limits.share_factor = read_real(table, "share_factor", 1, 1000);
+    if (table.contains("most_moved")) rules.map_limits.max_moved_share = read_real(table, "most_moved", 0, 1);
     if (const auto* apart = table.get("zones_apart")) {
       const auto value = apart->value_exact<bool>();
-      if (!value) fault(line(*apart), "zones_apart is wrong; expected true or false");
+      if (!value) fail(line(*apart), "zones_apart is wrong; expected true or false");
       rules.map_limits.require_two_zones = *value;
     }
-    if (table.contains("guard_s")) rules.guard_us = number(table, "guard_s", 0, 86'400) * 1'000'000;
+    if (table.contains("guard_s")) rules.guard_us = read_integer(table, "guard_s", 0, 86'400) * 1'000'000;
     if (table.contains("rollout_s"))
-      rules.rollout_timeout_us = number(table, "rollout_s", 1, 86'400) * 1'000'000;
-    if (table.contains("members")) rules.max_members = static_cast<size_t>(number(table, "members", 1, 4096));
+      rules.rollout_timeout_us = read_integer(table, "rollout_s", 1, 86'400) * 1'000'000;
+    if (table.contains("members"))
+      rules.max_members = static_cast<size_t>(read_integer(table, "members", 1, 4096));
     if (table.contains("snapshot_every")) {
-      out_.node.raft.snapshot_interval = static_cast<unsigned>(number(table, "snapshot_every", 4, 1'000'000));
+      out_.node.raft.snapshot_interval =
+          static_cast<unsigned>(read_integer(table, "snapshot_every", 4, 1'000'000));
     }
   }
 
-  // What the safety of leases, or any progress, rests on.
-  void consistent(const toml::table& root) const {
+  // Relations between time-outs that the safety of leases, or any progress, depends on.
+  void check_consistency(const toml::table& root) const {
     const reg::NodeOptions& node = out_.node;
     const auto* timing = root.get("timing");
     const int at = timing == nullptr ? 1 : line(*timing);
     if (node.lease_ms < 3 * node.relay_heartbeat_ms)
-      fault(at, "lease_ms is too short; expected at least three beats");
+      fail(at, "lease_ms is too short; expected at least three beats");
     if (node.member_timeout_ms * 10 < node.lease_ms * 12)
-      fault(at, "dead_ms is too short; expected 1.2 times lease_ms or more");
+      fail(at, "dead_ms is too short; expected 1.2 times lease_ms or more");
     if (node.raft.election_timeout_ms < 2 * node.relay_heartbeat_ms)
-      fault(at, "election_ms is too short; expected at least two beats");
+      fail(at, "election_ms is too short; expected at least two beats");
     if (node.raft.heartbeat_interval_ms * 2 > node.raft.election_timeout_ms) {
-      fault(at, "heartbeat_ms is too long; expected at most half of election_ms");
+      fail(at, "heartbeat_ms is too long; expected at most half of election_ms");
     }
   }
 
@@ -199,7 +201,7 @@
 
 }  // namespace
 
-Config parse_config(const std::string& toml, const std::string& file) { return Parser(file).run(toml); }
+Config parse_config(const std::string& toml, const std::string& file) { return Parser(file).parse(toml); }
 
 Config load_config(const std::filesystem::path& file) {
   std::ifstream in(file, std::ios::binary);
--- a/fleet/config.h
+++ b/fleet/config.h
@@ -1,4 +1,4 @@
-// fleet.toml: who this relay is among the others, and every time-out and cap of what they share.
+// fleet.toml: this relay's identity in the fleet, the voters, and the time-outs and limits of the register.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,12 +15,11 @@
   boost::asio::ip::tcp::endpoint listen;
   std::map<std::string, boost::asio::ip::tcp::endpoint> voters;
   std::filesystem::path folder;
-  size_t max_connections = 64;  // taken on at once; one for each relay, and for an operator's commands
-  size_t max_queued_bytes =
-      4'194'304;  // bytes waiting for one relay; beyond it the oldest frames are dropped
+  size_t max_connections = 64;          // accepted at the same time: from other relays and umberhoistctl
+  size_t max_queued_bytes = 4'194'304;  // waiting for one relay; above it the oldest frames are dropped
 };
 
-// Throws std::invalid_argument with one line: file, line, what was expected.
+// Throw std::invalid_argument with one line of text: file, line, what was expected.
 Config parse_config(const std::string& toml, const std::string& file);
 Config load_config(const std::filesystem::path& file);
 
--- a/fleet/fleet.h
+++ b/fleet/fleet.h
@@ -1,5 +1,5 @@
-// The one place where the daemon meets the fleet. Without it, all is as for a relay by itself; nothing here
-// is needed to deliver a message. Called from the daemon's thread; nothing of it waits.
+// Interface between the daemon and the fleet layer. It is optional: without it a relay works by itself, and
+// delivery of messages never depends on it. Called on the daemon's thread; no call blocks.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,18 @@
 
 namespace umberhoist::fleet {
 
+// Which relay sends the trial calls to a destination that is in outage.
 enum class TrialDuty {
-  kShared,  // as without the fleet: each relay sends its even part
-  kSelf,    // this relay sends them for all
-  kOther,   // another does
+  kShared,  // each relay sends an equal share, as without a fleet
+  kSelf,    // this relay sends them for the whole fleet
+  kOther,   // another relay does
 };
 
-struct HealthReport {  // times are microseconds of the steady clock
+// One relay's view of a destination's health. Times are in microseconds of the daemon's steady clock.
+struct HealthReport {
   int destination = 0;
   int64_t outage_start = 0;    // 0: no outage
-  int64_t recovery_start = 0;  // 0: still out
+  int64_t recovery_start = 0;  // 0: outage not over
   double baseline_rate = 0;
   bool recently_served = false;
   bool can_send_trial = false;
@@ -33,19 +35,20 @@
 class Fleet {
  public:
   virtual ~Fleet() = default;
-  // Whose the destination is, at this moment: a lease is looked at each time.
+  // Both are decided at the time of the call, as a lease may expire at any moment.
   virtual TrialDuty trial_duty(int destination) = 0;
   virtual bool owns(int destination) = 0;
-  // Whether others were heard lately, so that what they tell is the fleet's word.
+  // Whether a leader has confirmed the state recently, so that reports and ownership are current.
   virtual bool is_confirmed() = 0;
   virtual std::vector<HealthReport> health_reports() = 0;
   virtual void report_health(std::vector<HealthReport> sights) = 0;
-  // The version to run, and that it runs.
+  // The version to run; and the version that this relay runs now.
   virtual Version version() = 0;
   virtual void report_running_version(uint64_t number) = 0;
-  // A configuration for all relays; `told` comes on the daemon's thread, with the reason if it was refused.
+  // Proposes a configuration for all relays. `on_done` runs on the daemon's thread; `why` holds the reason of
+  // a refusal.
   virtual void propose_version(std::string text,
-                               std::function<void(bool done, const std::string& why)> told) = 0;
+                               std::function<void(bool done, const std::string& why)> on_done) = 0;
   virtual void announce_leaving() = 0;
 };
 
--- a/fleet/links.cpp
+++ b/fleet/links.cpp
@@ -9,33 +9,33 @@
 using Error = boost::system::error_code;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kSilence{30'000};  // beats come far more often
-constexpr milliseconds kAgain{200};       // after a connection that failed or ended
-constexpr size_t kReadAtOnce = 64 * 1024;
-constexpr size_t kHead = 4;
+constexpr milliseconds kIdleTimeout{30'000};  // heartbeats are sent far more often
+constexpr milliseconds kReconnectDelay{200};  // after a connection has failed or closed
+constexpr size_t kReadBytes = 64 * 1024;
+constexpr size_t kHeaderBytes = 4;
 
 }  // namespace
 
 std::string encode_frame(const register_pb::Frame& frame) {
-  std::string out(kHead, '\0');
-  if (!frame.AppendToString(&out) || out.size() - kHead > kMaxFrameBytes) return "";
-  const auto size = static_cast<uint32_t>(out.size() - kHead);
-  for (size_t i = 0; i < kHead; ++i) out[i] = static_cast<char>(size >> (8 * i));
+  std::string out(kHeaderBytes, '\0');
+  if (!frame.AppendToString(&out) || out.size() - kHeaderBytes > kMaxFrameBytes) return "";
+  const auto size = static_cast<uint32_t>(out.size() - kHeaderBytes);
+  for (size_t i = 0; i < kHeaderBytes; ++i) out[i] = static_cast<char>(size >> (8 * i));
   return out;
 }
 
-std::optional<register_pb::Frame> decode_frame(std::string& bytes, bool& bad) {
-  bad = false;
-  if (bytes.size() < kHead) return std::nullopt;
+std::optional<register_pb::Frame> decode_frame(std::string& bytes, bool& malformed) {
+  malformed = false;
+  if (bytes.size() < kHeaderBytes) return std::nullopt;
   uint32_t size = 0;
-  for (size_t i = 0; i < kHead; ++i)
+  for (size_t i = 0; i < kHeaderBytes; ++i)
     size |= static_cast<uint32_t>(static_cast<unsigned char>(bytes[i])) << (8 * i);
-  bad = size > kMaxFrameBytes;
-  if (bad || bytes.size() - kHead < size) return std::nullopt;
+  malformed = size > kMaxFrameBytes;
+  if (malformed || bytes.size() - kHeaderBytes < size) return std::nullopt;
   register_pb::Frame frame;
-  bad = !frame.ParseFromArray(bytes.data() + kHead, static_cast<int>(size));
-  bytes.erase(0, kHead + size);
-  if (bad) return std::nullopt;
+  malformed = !frame.ParseFromArray(bytes.data() + kHeaderBytes, static_cast<int>(size));
+  bytes.erase(0, kHeaderBytes + size);
+  if (malformed) return std::nullopt;
   return frame;
 }
 
@@ -44,87 +44,87 @@
   Connection(Links& owner, tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
 
-  std::function<void()> ended;
+  std::function<void()> on_closed;
 
   void start() {
     Error ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    up_ = true;
-    heard();
+    connected_ = true;
+    restart_idle_timer();
     read();
     write();
   }
   void connect(const tcp::endpoint& address) {
-    heard();
+    restart_idle_timer();
     socket_.async_connect(address, [self = shared_from_this()](const Error& error) {
-      if (error) return self->end();
+      if (error) return self->close();
       self->start();
     });
   }
   void send(std::string bytes) {
     if (owner_ == nullptr || bytes.empty()) return;
-    queued_ += bytes.size();
-    out_.push_back(std::move(bytes));
-    // The one that is being written stays.
-    while (queued_ > owner_->most_queued_ && out_.size() > 1 + (writing_ ? 1U : 0U)) {
-      const auto oldest = out_.begin() + (writing_ ? 1 : 0);
-      queued_ -= oldest->size();
-      out_.erase(oldest);
+    queued_bytes_ += bytes.size();
+    write_queue_.push_back(std::move(bytes));
+    // The frame that is being written must stay in the queue.
+    while (queued_bytes_ > owner_->max_queued_bytes_ && write_queue_.size() > 1 + (writing_ ? 1U : 0U)) {
+      const auto oldest = write_queue_.begin() + (writing_ ? 1 : 0);
+      queued_bytes_ -= oldest->size();
+      write_queue_.erase(oldest);
     }
     write();
   }
-  void end() {
+  void close() {
     if (owner_ == nullptr) return;
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
     timer_.cancel();
-    const auto tell = std::move(ended);
-    if (tell) tell();
+    const auto callback = std::move(on_closed);
+    if (callback) callback();
   }
-  void drop() {  // without telling anybody
-    ended = nullptr;
-    end();
+  void close_silently() {  // without calling on_closed
+    on_closed = nullptr;
+    close();
   }
 
  private:
-  void heard() {
-    timer_.expires_after(kSilence);
+  void restart_idle_timer() {
+    timer_.expires_after(kIdleTimeout);
     timer_.async_wait([self = shared_from_this()](const Error& error) {
-      if (!error) self->end();
+      if (!error) self->close();
     });
   }
   void read() {
-    const size_t had = in_.size();
-    in_.resize(had + kReadAtOnce);
+    const size_t had = read_buffer_.size();
+    read_buffer_.resize(had + kReadBytes);
     socket_.async_read_some(
-        boost::asio::buffer(in_.data() + had, kReadAtOnce),
+        boost::asio::buffer(read_buffer_.data() + had, kReadBytes),
         [self = shared_from_this(), had](const Error& error, size_t got) {
-          self->in_.resize(had + got);
-          if (error || self->owner_ == nullptr) return self->end();
-          self->heard();
-          bool bad = false;
+          self->read_buffer_.resize(had + got);
+          if (error || self->owner_ == nullptr) return self->close();
+          self->restart_idle_timer();
+          bool malformed = false;
           while (self->owner_ != nullptr) {
-            const auto frame = decode_frame(self->in_, bad);
+            const auto frame = decode_frame(self->read_buffer_, malformed);
             if (!frame) break;
-            self->owner_->know(frame->from(), self);
+            self->owner_->record_sender(frame->from(), self);
             self->owner_->receive_(*frame, [weak = self->weak_from_this()](const register_pb::Frame& answer) {
               if (const auto to = weak.lock()) to->send(encode_frame(answer));
             });
           }
-          if (bad) return self->end();
+          if (malformed) return self->close();
           if (self->owner_ != nullptr) self->read();
         });
   }
   void write() {
-    if (writing_ || !up_ || out_.empty() || owner_ == nullptr) return;
+    if (writing_ || !connected_ || write_queue_.empty() || owner_ == nullptr) return;
     writing_ = true;
-    boost::asio::async_write(socket_, boost::asio::buffer(out_.front()),
+    boost::asio::async_write(socket_, boost::asio::buffer(write_queue_.front()),
                              [self = shared_from_this()](const Error& error, size_t) {
                                self->writing_ = false;
-                               if (error || self->owner_ == nullptr) return self->end();
-                               self->queued_ -= self->out_.front().size();
-                               self->out_.pop_front();
+                               if (error || self->owner_ == nullptr) return self->close();
+                               self->queued_bytes_ -= self->write_queue_.front().size();
+                               self->write_queue_.pop_front();
                                self->write();
                              });
   }
@@ -132,65 +132,65 @@
   Links* owner_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  std::string in_;
-  std::deque<std::string> out_;
-  size_t queued_ = 0;
-  bool up_ = false;
+  std::string read_buffer_;
+  std::deque<std::string> write_queue_;
+  size_t queued_bytes_ = 0;
+  bool connected_ = false;
   bool writing_ = false;
 };
 
 Links::Links(boost::asio::io_context& io, const Config& config, ReceiveCallback receive)
     : io_(io),
-      most_connections_(config.max_connections),
-      most_queued_(config.max_queued_bytes),
+      max_connections_(config.max_connections),
+      max_queued_bytes_(config.max_queued_bytes),
       receive_(std::move(receive)),
       acceptor_(io, config.listen) {
   for (const auto& [name, address] : config.voters) {
     if (name == config.node.name) continue;
-    Outgoing& link = voters_[name];
+    VoterLink& link = voters_[name];
     link.address = address;
-    link.pause = std::make_unique<boost::asio::steady_timer>(io);
+    link.reconnect_timer = std::make_unique<boost::asio::steady_timer>(io);
   }
   accept();
 }
 
 Links::~Links() {
   for (auto& [name, link] : voters_) {
-    if (link.connection) link.connection->drop();
+    if (link.connection) link.connection->close_silently();
   }
-  for (const auto& connection : taken_) connection->drop();
+  for (const auto& connection : accepted_) connection->close_silently();
 }
 
-// By connections that are open: a name that nobody answers to any more makes room.
-void Links::know(const std::string& name, const std::shared_ptr<Connection>& connection) {
-  if (by_name_.size() > 4 * most_connections_) {
+// The table is bounded: names whose connection has closed are removed when it is full.
+void Links::record_sender(const std::string& name, const std::shared_ptr<Connection>& connection) {
+  if (by_name_.size() > 4 * max_connections_) {
     std::erase_if(by_name_, [](const auto& entry) { return entry.second.expired(); });
   }
-  if (by_name_.size() <= 4 * most_connections_ || by_name_.contains(name)) by_name_[name] = connection;
+  if (by_name_.size() <= 4 * max_connections_ || by_name_.contains(name)) by_name_[name] = connection;
 }
 
 void Links::accept() {
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
-    if (!error && taken_.size() < most_connections_) {
+    if (!error && accepted_.size() < max_connections_) {
       const auto connection = std::make_shared<Connection>(*this, std::move(socket));
-      taken_.insert(connection);
-      connection->ended = [this, weak = std::weak_ptr(connection)] { taken_.erase(weak.lock()); };
+      accepted_.insert(connection);
+      connection->on_closed = [this, weak = std::weak_ptr(connection)] { accepted_.erase(weak.lock()); };
       connection->start();
     }
     accept();
   });
 }
 
-void Links::connect(Outgoing& link) {
-  if (link.connection || link.pausing) return;
+void Links::connect(VoterLink& link) {
+  if (link.connection || link.reconnect_pending) return;
   link.connection = std::make_shared<Connection>(*this, tcp::socket(io_));
-  link.connection->ended = [this, &link] {
+  link.connection->on_closed = [this, &link] {
     link.connection.reset();
-    link.pausing = true;
-    link.pause->expires_after(kAgain);
-    link.pause->async_wait([&link](const Error& error) {
-      if (!error) link.pausing = false;
+    link.reconnect_pending = true;
+    link.reconnect_timer->expires_after(kReconnectDelay);
+    link.reconnect_timer->async_wait([&link](const Error& error) {
+      if (!error) link.reconnect_pending = false;
     });
   };
   link.connection->connect(link.address);
--- a/fleet/links.h
+++ b/fleet/links.h
@@ -1,6 +1,6 @@
-// Frames between relays: one length, one Protobuf message, over TCP. Everything is bounded: what one peer may
-// send at once, what waits for it, how many are connected, how long one may be silent. A frame that cannot be
-// sent is dropped; whoever wanted an answer asks again.
+// Frames between relays over TCP: a length and a Protobuf message. Frame size, queued bytes, number of
+// connections and idle time are limited. A frame that cannot be sent is dropped; the sender's retries cover
+// it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,19 +20,20 @@
 
 constexpr size_t kMaxFrameBytes = 20 * 1024 * 1024;  // a snapshot and its envelope
 
-// Four bytes of length, least first, and the message. Empty: too large.
+// Four bytes of length (little-endian) and the message. Returns "" if the message is too large.
 std::string encode_frame(const register_pb::Frame& frame);
-// The next whole frame in what was read, which loses it; nothing: more is needed, or (then `bad`) never
-// comes.
-std::optional<register_pb::Frame> decode_frame(std::string& bytes, bool& bad);
+// Removes the next complete frame from `bytes`. Returns nullopt if more bytes are needed, or, with
+// `malformed` set, if the bytes cannot become a frame.
+std::optional<register_pb::Frame> decode_frame(std::string& bytes, bool& malformed);
 
 class Links {
  public:
   using tcp = boost::asio::ip::tcp;
-  using ReplyCallback = std::function<void(const register_pb::Frame&)>;  // on the connection that it came on
+  using ReplyCallback =
+      std::function<void(const register_pb::Frame&)>;  // sends on the connection that the request came on
   using ReceiveCallback = std::function<void(const register_pb::Frame&, const ReplyCallback&)>;
 
-  // Listens at once. Throws std::exception if it cannot.
+  // Listens before it returns. Throws std::exception if it cannot.
   Links(boost::asio::io_context& io, const Config& config, ReceiveCallback receive);
   ~Links();
 
@@ -41,25 +42,26 @@
 
  private:
   class Connection;
-  struct Outgoing {
+  struct VoterLink {
     tcp::endpoint address;
     std::shared_ptr<Connection> connection;
-    std::unique_ptr<boost::asio::steady_timer> pause;
-    bool pausing = false;
+    std::unique_ptr<boost::asio::steady_timer> reconnect_timer;
+    bool reconnect_pending = false;
   };
 
-  void know(const std::string& name, const std::shared_ptr<Connection>& connection);
+  void record_sender(const std::string& name, const std::shared_ptr<Connection>& connection);
   void accept();
-  void connect(Outgoing& link);
+  void connect(VoterLink& link);
 
   boost::asio::io_context& io_;
-  size_t most_connections_;
-  size_t most_queued_;
+  size_t max_connections_;
+  size_t max_queued_bytes_;
   ReceiveCallback receive_;
   tcp::acceptor acceptor_;
-  std::map<std::string, Outgoing> voters_;
-  std::set<std::shared_ptr<Connection>> taken_;
-  std::map<std::string, std::weak_ptr<Connection>> by_name_;  // the last that it spoke on
+  std::map<std::string, VoterLink> voters_;
+  std::set<std::shared_ptr<Connection>> accepted_;
+  std::map<std::string, std::weak_ptr<Connection>>
+      by_name_;  // latest connection on which a frame of that name came
 };
 
 }  // namespace umberhoist::fleet
--- a/fleet/service.h
+++ b/fleet/service.h
@@ -1,5 +1,5 @@
-// The fleet's side of a daemon: a thread of its own, as what lasts is synced before anything is said, and the
-// daemon's loop is not to wait for a disk that it did not choose.
+// Runs the register's node of a daemon on a thread of its own: a node syncs to disk before it sends, and the
+// daemon's event loop must not wait for that.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,12 +10,12 @@
 
 namespace umberhoist::fleet {
 
-// Listens before it returns. Answers come on `daemon`'s thread. Throws std::exception with one line if the
-// folder or the address cannot be used.
+// Listens before it returns. Callbacks run on the thread of `daemon`. Throws std::exception with one line of
+// text if the folder or the address cannot be used.
 std::unique_ptr<Fleet> join(boost::asio::io_context& daemon, const Config& config, uint64_t seed);
 
-// The common part of the version that this relay ran last, as the register told it: what a start runs until
-// it hears of a newer one, whatever the relay's own file says. Empty: none.
+// The common settings of the register's version that this relay ran last. After a start they apply until the
+// register names a newer version, and override the relay's own file. Empty: none.
 std::string load_saved_version(const Config& config);
 
 }  // namespace umberhoist::fleet
