--- a/limits/meter.h
+++ b/limits/meter.h
@@ -5,8 +5,9 @@
 // `adopt_orphans` makes the calling process the parent of orphaned helpers, so that they are not re-parented
 // to init and lost.
 //
-// A memory burst shorter than the time between two samples is still seen, because the kernel keeps the highest
-// resident size of each process (VmHWM). A helper that lives for less than kProcessScanInterval may be missed.
+// A memory burst shorter than the time between two samples is still seen, because the kernel keeps the
+// highest resident size of each process (VmHWM). A helper that lives for less than kProcessScanInterval may
+// be missed.
 #pragma once
 
 #include <sys/types.h>
