--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -161,9 +161,9 @@
   const MassRestart& restart = model_.mass_restart;
   const auto killed = static_cast<size_t>(restart.share * model_.settings.relays);
   for (size_t i = 0; i < killed; ++i) {
-    const Time back =
+    const Time restart_at =
         restart.killed_at + restart.downtime + kSecond * static_cast<Time>(i) / static_cast<Time>(killed);
-    schedule(restart.killed_at, [this, i, back] { kill(i, back); });
+    schedule(restart.killed_at, [this, i, restart_at] { kill(i, restart_at); });
   }
   for (int i = 0; i < model_.settings.relays; ++i) {
     auto relay = std::make_unique<Relay>();
@@ -257,7 +257,7 @@
 }
 
 // Closes the relay's connections; its calls in flight may have been executed.
-void FleetEmulator::kill(size_t number, Time back) {
+void FleetEmulator::kill(size_t number, Time restart_at) {
   Relay& relay = *relays_.at(number);
   if (!relay.up) return;
   ++relay.process;
@@ -265,15 +265,15 @@
   while (!relay.idle_connections.empty())
     close_idle_connections(relay, relay.idle_connections.begin()->first);
   relay.events.clear();
-  schedule(back, [this, &relay] { start(relay, false); });
+  schedule(restart_at, [this, &relay] { start(relay, false); });
 }
 
-void FleetEmulator::shut_down(size_t number, Time killed, Time back) {
+void FleetEmulator::shut_down(size_t number, Time kill_at, Time restart_at) {
   Relay& relay = *relays_.at(number);
   if (!relay.up) return;
   relay.stopping = true;
-  post_event(relay, ShutdownScheduled{killed});
-  schedule(killed, [this, number, back] { kill(number, back); });
+  post_event(relay, ShutdownScheduled{kill_at});
+  schedule(kill_at, [this, number, restart_at] { kill(number, restart_at); });
 }
 
 void FleetEmulator::update_members(std::vector<Member> members, Time within) {
--- a/emulator/fleet.h
+++ b/emulator/fleet.h
@@ -125,10 +125,10 @@
 
   // Runs an action of the caller at a given time.
   void schedule(Time when, std::function<void()> action);
-  // Kills a relay now, or tells it the time at which it will be killed; restarts it at `back` with the state
-  // that its folder would hold.
-  void kill(size_t relay, Time back);
-  void shut_down(size_t relay, Time killed, Time back);
+  // Kills a relay now, or tells it the time at which it will be killed; restarts it at `restart_at` with the
+  // state that its folder would hold.
+  void kill(size_t relay, Time restart_at);
+  void shut_down(size_t relay, Time kill_at, Time restart_at);
   // Notifies all relays of changed hosts, each at a random time within `within`.
   void update_members(std::vector<firspool::Member> members, Time within);
   // Runs until the lifetime of the last submitted message has passed.
--- a/tests/emulator/fleet_test.cpp
+++ b/tests/emulator/fleet_test.cpp
@@ -248,9 +248,9 @@
     FleetEmulator fleet(model);
     const auto kill_and_restart = [&](Time killed, size_t first, size_t count) {
       for (size_t i = 0; i < count; ++i) {
-        const Time back =
+        const Time restart_at =
             killed + 600'000 + static_cast<Time>(kSecond * static_cast<Time>(i) / static_cast<Time>(count));
-        fleet.schedule(killed, [&fleet, i, first, back] { fleet.kill(first + i, back); });
+        fleet.schedule(killed, [&fleet, i, first, restart_at] { fleet.kill(first + i, restart_at); });
       }
     };
     kill_and_restart(12 * kSecond, 0, 210);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -42,7 +42,7 @@
   Relay relay(s);
   relay.step(0, {list});
   int firsts = 0;
-  int repeats = 0;
+  int retries = 0;
   Time now = 0;
   std::map<uint64_t, int> attempts;
   std::vector<Event> events;
@@ -52,14 +52,14 @@
       const auto sends = all_of<Send>(relay.step(now, events));
       events.clear();
       for (const Send& send : sends) {
-        ++(attempts[send.id] == 0 ? firsts : repeats);
+        ++(attempts[send.id] == 0 ? firsts : retries);
         events.push_back(ended(send, attempts[send.id]++, Outcome::kError));
       }
       now += 50'000;
     }
   }
   EXPECT_EQ(firsts, 60);
-  EXPECT_EQ(repeats, 10);
+  EXPECT_EQ(retries, 10);
 }
 
 TEST(RetryBucket, ServedCallsEarnATenthOfARepeat) {
@@ -74,15 +74,15 @@
     const uint64_t mine = ++id;
     auto sends = all_of<Send>(relay.step(now, {relay.message(mine, now)}));
     int attempt = 0;
-    int repeats = 0;
+    int retries = 0;
     while (!sends.empty()) {
       std::vector<Event> events = {ended(sends[0], attempt++, Outcome::kError)};
       sends = all_of<Send>(relay.step(now += 10'000, events));
       for (int i = 0; i < 30 && sends.empty(); ++i) sends = all_of<Send>(relay.step(now += 10'000, {}));
-      repeats += static_cast<int>(sends.size());
+      retries += static_cast<int>(sends.size());
     }
     relay.step(now += 3 * kSecond, {});  // the message's lifetime ends
-    return repeats;
+    return retries;
   };
   int spent = 0;
   for (int i = 0; i < 3; ++i) spent += retries_of_one_failure();
@@ -331,28 +331,29 @@
   std::map<uint64_t, int> attempts;
   std::vector<Event> events;
   std::vector<Time> sent_after_return;
-  const Time back = start + 8 * kSecond;
-  for (Time t = start; t < back + 8 * kSecond; t += 100'000) {
+  const Time recovery = start + 8 * kSecond;
+  for (Time t = start; t < recovery + 8 * kSecond; t += 100'000) {
     events.push_back(relay.message(++id, t));
     const auto sends = all_of<Send>(relay.step(t, events));
     events.clear();
     for (const Send& send : sends) {
-      const bool up = t >= back;
+      const bool up = t >= recovery;
       if (up) sent_after_return.push_back(t);
       events.push_back(ended(send, attempts[send.id]++, up ? Outcome::kOk : Outcome::kConnectFailed));
     }
   }
   ASSERT_FALSE(sent_after_return.empty());
   for (const Time from : sent_after_return) {
-    const double warm = static_cast<double>(from + 3 * kSecond - back) / static_cast<double>(s.slow_start);
+    const double progress =
+        static_cast<double>(from + 3 * kSecond - recovery) / static_cast<double>(s.slow_start);
     // Its share of the budget, at ten calls a second at most.
-    const double budget = 2 * (0.25 + 0.75 * std::min(1.0, warm)) * 10 * 3;
+    const double budget = 2 * (0.25 + 0.75 * std::min(1.0, progress)) * 10 * 3;
     const auto in_window = std::count_if(sent_after_return.begin(), sent_after_return.end(),
                                          [&](Time t) { return t >= from && t < from + 3 * kSecond; });
     EXPECT_LE(static_cast<double>(in_window), budget);
   }
   EXPECT_LE(std::count_if(sent_after_return.begin(), sent_after_return.end(),
-                          [&](Time t) { return t < back + 3 * kSecond; }),
+                          [&](Time t) { return t < recovery + 3 * kSecond; }),
             10);
 }
 
