--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -472,8 +472,7 @@
   }
 
   // A host that is being removed refuses and fails calls before the list says so. If all unserved calls of
-  // the streak went to such hosts, they are no evidence of an outage or a limit of the route: takes both
-  // back.
+  // the streak went to such hosts, they are no evidence of an outage or of a limit: both are discarded.
   void discount_endpoint(Route& route, const Endpoint& endpoint) {
     if (route.streak_endpoints.erase(endpoint) == 0 || !route.streak_endpoints.empty() ||
         route.recovery_start != 0)
