--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-// What each relay of a fleet has for itself.
+// Keys that are not shared by the relays of a fleet.
 const char* const kOwnKeys[] = {"name", "listen", "discovery", "seed", "known", "fleet"};
 
 std::string scalar_text(const json& value) {
@@ -61,8 +61,9 @@
   const json& limits = root.at("limits");
   out.max_sockets = limits.at("sockets").get<size_t>();
   const double disk_mb = limits.at("disk_mb").get<double>();
-  if (out.max_sockets < 64) throw std::invalid_argument("limits.sockets is under 64");
-  if (!(disk_mb > 0 && disk_mb < 1e6)) throw std::invalid_argument("limits.disk_mb is out of range");
+  if (out.max_sockets < 64) throw std::invalid_argument("limits.sockets is too small; expected 64 or more");
+  if (!(disk_mb > 0 && disk_mb < 1e6))
+    throw std::invalid_argument("limits.disk_mb is out of range; expected more than 0 and under 1000000");
   out.max_disk_bytes = static_cast<size_t>(disk_mb * 1e6);
   const std::string durability = root.value("durability", "process");
   if (durability != "process" && durability != "group") {
@@ -104,7 +105,7 @@
   const std::string path = required_variable("PROXY_CONFIG");
   const std::string state = required_variable("PROXY_STATE");
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw std::invalid_argument("cannot read " + path);
+  if (!file) throw std::invalid_argument("cannot read configuration file " + path);
   return parse_config({std::istreambuf_iterator<char>(file), {}}, state);
 }
 
--- a/relay/config.h
+++ b/relay/config.h
@@ -1,4 +1,4 @@
-// What a relay is told at its start: environment and JSON.
+// Configuration of a relay: environment variables and a JSON file.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
   std::string name;
   tcp::endpoint listen;
   tcp::endpoint discovery;
-  std::string state_folder;  // the folder that lasts
+  std::string state_folder;  // folder that survives restarts
   uint64_t seed = 0;
   size_t max_sockets = 1024;
   size_t max_disk_bytes = 0;
@@ -24,22 +24,24 @@
   ListNames list_names;
   std::vector<std::string> report_fields;
   HostList known_hosts;
-  std::string fleet_file;       // file that tells of the other relays; empty: none
-  std::string source_text;      // the whole of it, as it was read
-  std::string common_settings;  // what has to be alike at all relays of a fleet
+  std::string fleet_file;       // the fleet's configuration file; empty: no fleet
+  std::string source_text;      // the JSON text as read
+  std::string common_settings;  // JSON of the settings that all relays of a fleet share
 };
 
-// The settings as the path=value lines that parse_settings reads.
+// Converts settings to the path=value lines that parse_settings reads.
 std::string flatten(const nlohmann::json& settings);
 
-// Throws std::exception with one line that says what is missing or unreadable.
+// Throws std::exception with one line that names what is missing or malformed.
 Config parse_config(const std::string& text, const std::string& state_folder);
 Config load_config();
 
-// What has to be alike at all relays of a fleet, of a whole configuration's JSON. Throws std::exception.
+// Returns the part of a configuration that all relays of a fleet share. Throws std::exception if the JSON is
+// malformed.
 std::string common_settings(const std::string& text);
 
-// The own configuration with a fleet's common part in place of its own. Empty: the own one as it was read.
+// Returns a relay's own configuration with the common settings of its fleet. Empty `common`: the own
+// configuration as read.
 Config with_common_settings(const Config& own, const std::string& common);
 
 }  // namespace firspool::relay
--- a/relay/directory.cpp
+++ b/relay/directory.cpp
@@ -8,7 +8,7 @@
 namespace firspool::relay {
 namespace {
 
-constexpr Time kRemovedRetention = 120'000'000;  // no agent is further behind
+constexpr Time kRemovedRetention = 120'000'000;  // no agent is further behind than this
 
 int index_of(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
@@ -51,7 +51,8 @@
   return out;
 }
 
-// Whether an older list's entry undoes what was told: an id that has left comes back only with a new start.
+// Whether an entry of an older list would revert a newer state. A removed id is accepted again only with a
+// later start time.
 bool Directory::is_outdated(const ListedHost& listed) const {
   const auto removed = removed_.find(listed.id);
   if (removed != removed_.end()) return listed.up_since <= removed->second;
--- a/relay/directory.h
+++ b/relay/directory.h
@@ -1,4 +1,4 @@
-// The list of hosts as discovery tells it, and the handles under which the module knows them.
+// The host list of discovery, and the handles under which the module knows the hosts.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,9 +19,9 @@
 struct ListedHost {
   std::string id;
   tcp::endpoint address;
-  Member member;          // its endpoint is filled in by the Directory
+  Member member;          // its endpoint is set by the Directory
   Time up_since = 0;      // wall clock; 0: long ago
-  std::string json_text;  // the entry as it came
+  std::string json_text;  // the JSON entry as received
 };
 
 struct HostList {
@@ -30,7 +30,7 @@
   std::vector<ListedHost> hosts;
 };
 
-// The names that a list uses for zones and kinds, in the order of their numbers.
+// Names of zones and kinds in a list; their positions are the numbers that the module uses.
 struct ListNames {
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
@@ -39,32 +39,32 @@
 // "127.0.0.1:80"; throws std::invalid_argument.
 tcp::endpoint parse_address(const std::string& text);
 
-// Throws std::exception on what is not a list.
+// Throws std::exception if the JSON is no valid list.
 HostList parse_list(const nlohmann::json& json, const ListNames& names);
 
-// A machine that takes over another's address has an id of its own, so handles stand for ids, not addresses.
+// The known hosts. A handle stands for a host id and not for an address, as a new machine may take over the
+// address of another.
 class Directory {
  public:
-  // Takes a list over; returns what to tell the module, if it changes anything. An agent may be behind what
-  // was told before: its list then only moves hosts on, and brings none back.
+  // Applies a list and returns the change for the module, if there is any. An agent may send a list older
+  // than the last one: it then may only advance the state of hosts and never restores one.
   std::optional<MembersChanged> apply(const HostList& list, Time wall);
 
   const ListedHost* find(const Endpoint& endpoint) const;
   bool is_active(const Endpoint& endpoint) const;
-  bool is_known(int destination) const {
-    return destinations_.contains(destination);
-  }  // had a host at any time
+  // Whether the destination has had a host at some time.
+  bool is_known(int destination) const { return destinations_.contains(destination); }
   void add_destination(int destination) { destinations_.insert(destination); }
   int64_t revision() const { return revision_; }
   const std::map<Endpoint, ListedHost>& hosts() const { return hosts_; }
   const std::set<int>& destinations() const { return destinations_; }
 
-  // For a host that is gone and has nothing out on it any more. Its id is kept for a while, against old
-  // lists.
+  // For a removed host without calls in flight. Its id is kept for a while, as older lists may still contain
+  // it.
   void erase(const Endpoint& endpoint);
   const std::map<std::string, Time>& removed() const { return removed_; }
   void add_removed(const std::string& id, Time wall) { removed_[id] = wall; }
-  std::vector<std::string> prune_removed(Time wall);  // the ids that are kept no longer
+  std::vector<std::string> prune_removed(Time wall);  // returns the ids dropped
 
  private:
   bool is_outdated(const ListedHost& listed) const;
@@ -74,7 +74,7 @@
   uint32_t last_handle_ = 0;
   std::map<std::string, Endpoint> handles_by_id_;
   std::map<Endpoint, ListedHost> hosts_;
-  std::map<std::string, Time> removed_;  // when that was told
+  std::map<std::string, Time> removed_;  // by id: wall-clock time of the removal
   std::set<int> destinations_;
 };
 
--- a/relay/discovery.cpp
+++ b/relay/discovery.cpp
@@ -16,21 +16,21 @@
 
 constexpr milliseconds kMinRetryDelay{50};
 constexpr size_t kMaxOldStreams = 2;
-// The agent is on this machine and answers at once. A notice may be 300 ms late: a second try still is in
-// time.
+// The agent is on this machine and replies at once. A notice may be up to 300 ms late, so that a second
+// attempt is still in time.
 constexpr milliseconds kPostTimeout{150};
 constexpr milliseconds kMaxPostRetryDelay{200};
 constexpr size_t kMaxListBytes = 8 * 1024 * 1024;
-constexpr size_t kMaxNoticesPerPost = 200;  // in one request: well under the largest body
+constexpr size_t kMaxNoticesPerPost = 200;  // keeps a request well below the maximum body size
 
 }  // namespace
 
-// One connection with one endless answer. Its states, and what leads on:
-//   kConnecting  until the connection is up and the request written
-//   kAsked       until its first word: a head with 200 says nothing yet
-//   kFollowing   each word is followed by the next within the silence allowed
-//   kEnded       by an end, silence, what is no list, or its owner
-// An end before kFollowing is kNoResponse, or kRefused where the head says so; one after it is kBroken.
+// One connection with one response of unlimited length. States and transitions:
+//   kConnecting  until the connection is established and the request written
+//   kRequested   until the first item; a header with status 200 alone proves nothing
+//   kFollowing   each item has to be followed by the next within the silence time-out
+//   kEnded       after the end of the stream, silence, malformed input, or close() by the owner
+// An end before kFollowing is kNoResponse, or kRefused if the status says so; one after it is kBroken.
 class DiscoveryWatch::Stream : public std::enable_shared_from_this<Stream> {
  public:
   explicit Stream(DiscoveryWatch& owner)
@@ -96,14 +96,15 @@
     });
   }
 
-  // Bytes alone are no sign of life: a list that never ends is silence.
+  // Only complete items reset the time-out: a list that never ends counts as silence.
   void on_item() {
     state_ = State::kFollowing;
     end_ = WatchEnd::kBroken;
     set_timeout(WatchScheduler::kSilenceTimeout);
   }
 
-  // Guards against an agent or a path that fell silent with its connection open, or in the head, or before.
+  // Ends the stream if nothing arrives in time: the agent or the network may fall silent while connecting,
+  // within the header, or on an open connection.
   void set_timeout(Time timeout) {
     timer_.expires_after(std::chrono::microseconds(timeout));
     timer_.async_wait([self = shared_from_this(), generation = ++timer_generation_](const Error& error) {
@@ -120,8 +121,8 @@
   tcp::endpoint address_;
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  uint64_t timer_generation_ =
-      0;  // how often the timer was set: an expiry of before, queued already, is of no weight
+  // Number of times that timer_ was set: tells an expiry that was already queued before the last time.
+  uint64_t timer_generation_ = 0;
   State state_ = State::kConnecting;
   WatchEnd end_ = WatchEnd::kNoResponse;
   http::request<http::empty_body> request_;
@@ -160,7 +161,7 @@
   }
   retry_timer_.cancel();
   scheduler_.on_item();
-  // Every relay is told the new address in the same moment, as at a start.
+  // All relays get the new address at the same moment, as at a start.
   const Time delay = scheduler_.initial_delay(true);
   delay > 0 ? connect_after(delay) : connect();
 }
@@ -187,7 +188,7 @@
 bool DiscoveryWatch::handle_item(const std::string& list) {
   try {
     if (!list.empty()) on_list_(parse_list(nlohmann::json::parse(list), names_));
-  } catch (const std::exception&) {  // unreadable: from the start, on a new connection
+  } catch (const std::exception&) {  // malformed: start again on a new connection
     return false;
   }
   scheduler_.on_item();
@@ -195,7 +196,7 @@
   return true;
 }
 
-// A kept-alive connection for notices, one request at a time.
+// A keep-alive connection for notices, with one request at a time.
 class NoticeSender::PostConnection : public std::enable_shared_from_this<PostConnection> {
  public:
   explicit PostConnection(NoticeSender& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
--- a/relay/discovery.h
+++ b/relay/discovery.h
@@ -1,4 +1,4 @@
-// The platform's side: the watch on the list of hosts, and the notices that end messages.
+// Connections to the platform's discovery: the watch on the host list, and the notices that end messages.
 #pragma once
 
 #include <array>
@@ -20,17 +20,16 @@
 
 namespace firspool::relay {
 
-// Follows the watch for as long as it lives: one that ends, falls silent or brings what is no list is opened
-// anew, when the pace says so.
-// Discovery may move to another address: what the old one has written still counts, so it is heard to its
-// end.
+// Keeps a watch on the host list open: one that ends, falls silent or sends a malformed list is reopened
+// after a delay from the scheduler. Discovery may move to another address. What the old one has sent still
+// counts, so its stream is read to its end.
 class DiscoveryWatch {
  public:
   using ListCallback = std::function<void(const HostList&)>;
-  using RevisionProvider = std::function<int64_t()>;  // the one that is known
+  using RevisionProvider = std::function<int64_t()>;  // the revision known so far
 
-  // `current` is called after each word: what there was to tell has been told. `list_known`: there is one to
-  // start on.
+  // `on_item` is called after each item, once the lists so far have been passed to `on_list`. `list_known`:
+  // the relay already has a host list to start with.
   DiscoveryWatch(boost::asio::io_context& io, const tcp::endpoint& address, ListNames names,
                  RevisionProvider revision, ListCallback on_list, std::function<void()> on_item,
                  umberhoist::members::WatchScheduler scheduler, bool list_known);
@@ -44,7 +43,7 @@
   void connect();
   void connect_after(Time delay);
   void on_stream_ended(const std::shared_ptr<Stream>& stream);
-  bool handle_item(const std::string& list);  // empty: discovery lives; false: it is no list
+  bool handle_item(const std::string& list);  // an empty item is a keep-alive; false: malformed list
 
   boost::asio::io_context& io_;
   tcp::endpoint address_;
@@ -55,10 +54,10 @@
   umberhoist::members::WatchScheduler scheduler_;
   boost::asio::steady_timer retry_timer_;
   std::shared_ptr<Stream> stream_;
-  std::vector<std::shared_ptr<Stream>> old_streams_;  // of addresses before, until they end
+  std::vector<std::shared_ptr<Stream>> old_streams_;  // to former addresses, until they end
 };
 
-// Sends notices, each again until it is answered with 204.
+// Sends notices to discovery and repeats each until it is acknowledged with 204.
 class NoticeSender {
  public:
   using AcknowledgedCallback = std::function<void(const std::string& id)>;
@@ -68,7 +67,7 @@
   ~NoticeSender();
 
   void add(Notice notice);
-  // What is unanswered goes to the new address, at once.
+  // Sends the unacknowledged notices to the new address at once.
   void set_address(const tcp::endpoint& address);
   bool empty() const { return queue_.empty(); }
 
@@ -84,7 +83,7 @@
   boost::asio::steady_timer retry_timer_;
   std::chrono::milliseconds retry_delay_;
   std::deque<Notice> queue_;
-  size_t in_flight_ = 0;  // notices at the front that are out
+  size_t in_flight_ = 0;  // notices at the front of queue_ that are in the current request
   std::shared_ptr<PostConnection> connection_;
 };
 
--- a/relay/fleet_side.cpp
+++ b/relay/fleet_side.cpp
@@ -13,7 +13,7 @@
 using umberhoist::fleet::TrialDuty;
 
 constexpr std::chrono::milliseconds kTickInterval{100};
-constexpr Time kRecent = 2'000'000;  // a call that was served so long ago tells that its destination is up
+constexpr Time kRecent = 2'000'000;  // a call served within this time shows that its destination is up
 
 TrialAssignment::Duty to_module_duty(TrialDuty duty) {
   return duty == TrialDuty::kSelf    ? TrialAssignment::Duty::kSelf
@@ -42,10 +42,11 @@
   }
   const size_t count = held.size();
   umberhoist::recovery::RecoveryLimits limits;
-  // The fleet's relays come one after the other: each at a moment of its own within two more seconds.
+  // Spreads the relays of the fleet over two more seconds.
   limits.owner_head_start += static_cast<Time>(seed_ % 2'000'000);
   recovery_.emplace(limits, std::move(held), now);
-  if (count > 0) std::fprintf(stderr, "recovery: %zu messages held, waiting for the fleet's word\n", count);
+  if (count > 0)
+    std::fprintf(stderr, "recovery: %zu messages held, waiting for the state of the fleet\n", count);
   release_messages(now);
 }
 
@@ -83,13 +84,14 @@
   });
 }
 
-// What the register holds is run, also by a relay that was away, whatever its own file says.
+// The version in the register applies, whatever the own file says, and also to a relay that was away when it
+// was committed.
 void FleetAdapter::apply_current_version() {
   const auto version = fleet_->version();
   if (version.number == running_version_) return;
   if (!hooks_.apply_version(version.text)) {
     if (version_text_ != version.text) {
-      std::fprintf(stderr, "version %llu cannot be run here\n",
+      std::fprintf(stderr, "configuration version %llu cannot be applied by this relay\n",
                    static_cast<unsigned long long>(version.number));
     }
     version_text_ = version.text;
@@ -140,7 +142,7 @@
   for (const HealthReport& report : fleet_->health_reports()) {
     if (report.recently_served && recovery_) recovery_->on_served_elsewhere(report.destination);
     auto& last = reported_outages_[report.destination];
-    // Times that were told by way of ages shake a little; what matters is an outage or a return that is new.
+    // Reported times are derived from ages and vary slightly; only a new outage or a new recovery counts.
     const bool is_new = (report.outage_start != 0 && std::abs(report.outage_start - last.first) > kRecent) ||
                         (report.recovery_start != 0) != (last.second != 0);
     if (!is_new) continue;
@@ -167,8 +169,8 @@
   if (stage == recovery_->stage()) return;
   std::fprintf(stderr, "recovery: %s, %zu messages held\n",
                recovery_->stage() == umberhoist::recovery::Stage::kComplete ? "over"
-               : recovery_->without_fleet()                                 ? "alone, on even parts"
-                                                                            : "with the fleet's word",
+               : recovery_->without_fleet() ? "no state of the fleet in time, going on alone with even shares"
+                                            : "state of the fleet received",
                recovery_->remaining());
   if (recovery_->stage() == umberhoist::recovery::Stage::kComplete) recovery_.reset();
 }
--- a/relay/fleet_side.h
+++ b/relay/fleet_side.h
@@ -1,5 +1,6 @@
-// Where the daemon meets the fleet: whose scouts go where, what others saw, which configuration is run, and
-// how what the folder held comes back. A relay without a fleet has none of it.
+// Connects the relay to the fleet layer: which relay sends trial calls, health reports of other relays,
+// versions of the common configuration, and the staged recovery of messages after a restart. A relay without
+// a fleet has no adapter.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,17 +21,17 @@
  public:
   struct Hooks {
     std::function<void(Event)> post_event;
-    std::function<std::vector<int>()> known_destinations;   // all that are known
-    std::function<std::vector<int>()> open_destinations;    // destinations of what is held
-    std::function<bool(const std::string&)> apply_version;  // a version's text; empty: the own file's
+    std::function<std::vector<int>()> known_destinations;   // all known destinations
+    std::function<std::vector<int>()> open_destinations;    // of the open messages, one entry for each
+    std::function<bool(const std::string&)> apply_version;  // text of a version; empty: the relay's own file
   };
 
   FleetAdapter(boost::asio::io_context& io, std::unique_ptr<umberhoist::fleet::Fleet> fleet,
                const Settings& settings, uint64_t seed, Hooks hooks);
 
-  // A message from before the restart: handed to the module when its turn has come.
+  // Adds a message from before the restart; it is posted to the module when recovery releases it.
   void add_recovered(const Arrival& in);
-  void start_recovery(Time now);  // no more of them come
+  void start_recovery(Time now);  // call once after the last add_recovered
   void on_attempt_ended(int destination, Outcome outcome, Time now);
   void on_destination_state(const DestinationState& memory);
   void on_message_ended(uint64_t number);
@@ -51,12 +52,12 @@
   std::unique_ptr<umberhoist::fleet::Fleet> fleet_;
   Hooks hooks_;
   boost::asio::steady_timer timer_;
-  std::map<int, TrialAssignment::Duty> trial_duties_;  // as the module was told
-  std::map<int, DestinationState> outages_;            // as the module told
-  std::map<int, Time> last_served_;                    // when a call was last served
-  std::map<int, std::pair<Time, Time>>
-      reported_outages_;  // what others saw, as the module was told: out, back
-  std::map<uint64_t, Arrival> recovered_;
+  std::map<int, TrialAssignment::Duty> trial_duties_;  // as last posted to the module
+  std::map<int, DestinationState> outages_;            // as reported by the module
+  std::map<int, Time> last_served_;                    // time of the last served call
+  // Start of outage and of recovery that other relays saw, as last posted to the module.
+  std::map<int, std::pair<Time, Time>> reported_outages_;
+  std::map<uint64_t, Arrival> recovered_;  // not released yet
   std::optional<umberhoist::recovery::StagedRecovery> recovery_;
   uint64_t running_version_ = 0;
   std::string version_text_;
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -1,4 +1,4 @@
-// Wiring and signals.
+// Entry point of the daemon: start-up and signals.
 #include <sys/resource.h>
 
 #include <boost/asio/io_context.hpp>
@@ -16,8 +16,8 @@
 
 namespace {
 
-// Where the process itself may hold fewer descriptors than the configuration says, idle clients would take
-// those that the watch, the notices, the calls and the journal need.
+// If the process's own limit of descriptors is lower than the configured one, the lower one applies.
+// Otherwise idle clients would take the descriptors that the watch, notices, calls and journal need.
 constexpr size_t kMinDescriptors = 32;
 
 firspool::relay::Config with_process_limit(firspool::relay::Config config) {
@@ -32,11 +32,11 @@
 }
 
 #ifdef UMBERHOIST_FLEET
-constexpr size_t kFleetDescriptors = 12;  // its listener, event loop, log, peers, folder, and one file read
-constexpr size_t kMinSockets = 64;        // as the configuration's own least
+constexpr size_t kFleetDescriptors = 12;  // listener, event loop, log, peers, folder, one file being read
+constexpr size_t kMinSockets = 64;        // the same minimum as in the configuration
 #endif
 
-// A file that cannot be read whole or is not valid changes nothing.
+// A file that cannot be read or is invalid changes nothing.
 void reload(firspool::relay::Relay& relay) {
   try {
     relay.reload(firspool::relay::load_config(),
@@ -54,7 +54,8 @@
   });
 }
 
-// Throws std::invalid_argument with one line where the fleet's file is wrong: nothing listens yet.
+// Throws std::invalid_argument with one line if the fleet's file is invalid. Called before the listener
+// opens.
 std::unique_ptr<umberhoist::fleet::Fleet> join_fleet([[maybe_unused]] boost::asio::io_context& io,
                                                      firspool::relay::Config& config) {
   if (config.fleet_file.empty()) return nullptr;
@@ -63,7 +64,7 @@
   if (const std::string version = umberhoist::fleet::load_saved_version(fleet); !version.empty()) {
     config = with_process_limit(firspool::relay::with_common_settings(config, version));
   }
-  // Its descriptors are the process's too.
+  // The fleet layer uses descriptors of this process too.
   const size_t fleet_descriptors = fleet.max_connections + fleet.voters.size() + kFleetDescriptors;
   if (config.max_sockets < fleet_descriptors + kMinSockets) {
     throw std::invalid_argument(config.fleet_file + ":1: connections are too many for limits.sockets of " +
@@ -73,8 +74,8 @@
   config.max_sockets -= fleet_descriptors;
   return umberhoist::fleet::join(io, fleet, config.seed);
 #else
-  throw std::invalid_argument(config.fleet_file +
-                              ":1: this build knows no fleet; expected one made with UMBERHOIST_FLEET");
+  throw std::invalid_argument(
+      config.fleet_file + ":1: this build has no fleet support; expected one built with UMBERHOIST_FLEET");
 #endif
 }
 
@@ -83,7 +84,7 @@
 int main() {
   try {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is a write that fails, like any other
+    std::signal(SIGXFSZ, SIG_IGN);  // a write over the file size limit fails like any other
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
     firspool::relay::Config config = with_process_limit(firspool::relay::load_config());
--- a/relay/message.h
+++ b/relay/message.h
@@ -1,4 +1,4 @@
-// A message as a client hands it in, and the notice that may end it.
+// A message as a client submits it, and the notice that may end it.
 #pragma once
 
 #include <chrono>
@@ -13,26 +13,26 @@
   std::string id;
   std::string message_class;
   std::string key;     // idempotency key; empty if none
-  std::string tenant;  // empty: none named
+  std::string tenant;  // empty if none
   int destination = 0;
-  Time lifetime = 0;  // how long it may still be delivered, when its last byte came
+  Time lifetime = 0;  // remaining when its last byte arrived
   std::string body;
 };
 
 struct Notice {
   std::string id;
-  bool returned = false;  // else failed
-  Time retry_after = 0;   // with returned: when to come again; 0: not told
+  bool returned = false;  // false: failed
+  Time retry_after = 0;   // if returned: when to submit it again; 0: unknown
 };
 
-// For the module and time-outs.
+// Monotonic clock, in microseconds, for the module and time-outs.
 inline Time steady_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-// For what outlasts the process.
+// Wall clock, in microseconds since the epoch, for stored times.
 inline Time wall_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::system_clock::now().time_since_epoch())
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,5 +1,4 @@
-// The watch and the notices against an agent that the test plays, which falls silent at each place where it
-// can.
+// The watch and the notices against an agent that the test plays, which falls silent at each possible point.
 #include <poll.h>
 
 #include <boost/asio/post.hpp>
@@ -34,7 +33,7 @@
 
 class WatchTest : public ::testing::Test {
  protected:
-  // Takes the next watch that is opened, and says so much on it.
+  // Accepts the next watch that is opened and sends `bytes` on it.
   Socket accept_watch(const std::string& bytes) { return accept_watch(listener_, bytes); }
   static Socket accept_watch(const Socket& listener, const std::string& bytes) {
     Socket connection = listener.accept();
@@ -43,8 +42,8 @@
     return connection;
   }
 
-  // Plays the agent's part beside the watch until a revision was told; returns how long that took from when
-  // the first was.
+  // Runs `agent_part` beside a watch until `revision` has arrived; returns the time since the first list
+  // arrived.
   Time run_until_revision(const std::function<void()>& agent_part, int64_t revision) {
     std::thread agent(agent_part);
     Time first = 0;
@@ -68,8 +67,8 @@
   std::vector<int64_t> revisions_;
 };
 
-// The watch falls silent, and the one that replaces it says nothing, or stops within its head. (What three
-// silences in a row add up to is WatchScheduler's test.)
+// The watch falls silent, and the one that replaces it sends nothing, or stops within its header. (The sum of
+// three silences in a row is covered by the tests of WatchScheduler.)
 TEST_F(WatchTest, AWatchThatIsSilentAgainWhileItIsReplacedCostsLessThanAChangeMayTake) {
   EXPECT_LT(run_until_revision(
                 [this] {
@@ -92,7 +91,7 @@
             kMaxNotificationDelay);
 }
 
-// Heartbeats without their lines' ends, or a list that never ends, are silence too.
+// Keep-alives without line breaks, or a list that never ends, count as silence too.
 TEST_F(WatchTest, BytesThatAreNoWordAreSilence) {
   EXPECT_LT(run_until_revision(
                 [this] {
@@ -117,7 +116,7 @@
   EXPECT_EQ(revisions_, (std::vector<int64_t>{1, 2}));
 }
 
-// A spoilt list is asked for anew at once, from what is known.
+// A malformed list is requested again at once, from the known revision.
 TEST_F(WatchTest, ASpoiltListIsAskedForAgainAtOnce) {
   std::string request_line;
   const Time took = run_until_revision(
@@ -130,7 +129,7 @@
         EXPECT_TRUE(third.send(kHead + chunk(list_text(2))));
       },
       2);
-  EXPECT_LT(took, 2'000'000) << "no silence was waited out";
+  EXPECT_LT(took, 2'000'000) << "a silence time-out was waited for";
   EXPECT_NE(request_line.find("index=1 "), std::string::npos) << request_line;
 }
 
@@ -148,8 +147,8 @@
   EXPECT_LT(took, 2'000'000);
 }
 
-// Down for as long as the operators' longest spell: asked in vain many times, it answers what it finds when
-// it is back, whose list holds what it got meanwhile.
+// Down for as long as the longest outage that operators allow for: many requests get no reply, and once it is
+// back its list holds all changes made meanwhile.
 TEST_F(WatchTest, AnAgentThatReturnsAfterEightSecondsIsHeardSoon) {
   constexpr Time kDowntime = 8'000'000;
   Time back_at = 0;
@@ -160,7 +159,7 @@
         open.push_back(accept_watch(kHead + chunk(list_text(1))));
         while (steady_now() - from < kDowntime) open.push_back(accept_watch(""));
         back_at = steady_now();
-        // Of those that are still open the newest is the one that waits for a word.
+        // Of the connections still open, the newest is the one that waits for input.
         EXPECT_TRUE(open.back().send(kHead + chunk(list_text(2))));
         pollfd next{listener_.fd(), POLLIN, 0};
         if (::poll(&next, 1, 1000) > 0) open.push_back(accept_watch(kHead + chunk(list_text(2))));
@@ -169,8 +168,8 @@
   EXPECT_LT(steady_now() - back_at, 2'500'000);
 }
 
-// A notice that got no answer is on its way a second time before it is late. The best of some tries, as this
-// machine may stand still for a moment.
+// A notice without a reply is sent again before it is late. The best of several runs counts, as the machine
+// may stall for a moment.
 TEST(NoticesTest, AnAgentThatSaysNothingOnceMakesNoNoticeLate) {
   Time best = kMaxNotificationDelay;
   for (int i = 0; i < 5 && best >= 300'000; ++i) {
@@ -179,7 +178,7 @@
     bool sent = false;
     NoticeSender notices(io, {boost::asio::ip::address_v4::loopback(), listener.port()},
                          [&](const std::string&) { sent = true; });
-    std::thread agent_part([&] {
+    std::thread agent([&] {
       Socket silent = listener.accept();
       EXPECT_TRUE(read_request(silent).has_value());
       Socket second = listener.accept();
@@ -190,7 +189,7 @@
     notices.add({"9b1f03aa5c7e2d41", false, 0});
     while (!sent) io.run_one();
     best = std::min(best, steady_now() - from);
-    agent_part.join();
+    agent.join();
   }
   EXPECT_LT(best, 300'000);
 }
