--- a/freeze/calendar.cpp
+++ b/freeze/calendar.cpp
@@ -11,8 +11,8 @@
 namespace umberhoist::freeze {
 namespace {
 
-constexpr Instant kSecond = 1'000'000;
-constexpr int64_t kMostNoticeH = 24 * 366;
+constexpr Instant kMicrosPerSecond = 1'000'000;
+constexpr int64_t kMaxNoticeHours = 24 * 366;
 
 Instant instant_of(const toml::date_time& value) {
   using namespace std::chrono;
@@ -21,7 +21,7 @@
   const sys_days day = year{d.year} / month{d.month} / std::chrono::day{d.day};
   const int64_t seconds =
       int64_t{t.hour} * 3600 + t.minute * 60 + t.second - int64_t{value.offset->minutes} * 60;
-  return (duration_cast<std::chrono::seconds>(day.time_since_epoch()).count() + seconds) * kSecond +
+  return (duration_cast<std::chrono::seconds>(day.time_since_epoch()).count() + seconds) * kMicrosPerSecond +
          t.nanosecond / 1000;
 }
 
@@ -31,12 +31,12 @@
     try {
       read(state::parse_toml(text));
     } catch (const toml::parse_error& error) {
-      fault(static_cast<int>(error.source().begin.line), std::string(error.description()));
+      add_error(static_cast<int>(error.source().begin.line), std::string(error.description()));
     }
-    if (!defects_.empty()) {
-      std::stable_sort(defects_.begin(), defects_.end(),
+    if (!errors_.empty()) {
+      std::stable_sort(errors_.begin(), errors_.end(),
                        [](const ValidationError& a, const ValidationError& b) { return a.line < b.line; });
-      return defects_;
+      return errors_;
     }
     std::sort(out_.windows.begin(), out_.windows.end(), [](auto& a, auto& b) { return a.id < b.id; });
     return out_;
@@ -44,124 +44,125 @@
 
  private:
   static int line(const toml::node& node) { return static_cast<int>(node.source().begin.line); }
-  void fault(int at, std::string what) { defects_.push_back({at, std::move(what)}); }
+  void add_error(int at, std::string what) { errors_.push_back({at, std::move(what)}); }
 
   void read(const toml::table& root) {
     for (const auto& [key, value] : root) {
       if (key != "window" && key != "approvers") {
-        fault(line(value), "'" + std::string(key) + "' is not known; expected window and approvers");
+        add_error(line(value), "'" + std::string(key) + "' is not known; expected window and approvers");
       }
     }
-    if (const auto* node = root.get("approvers")) names(*node, out_.approvers);
+    if (const auto* node = root.get("approvers")) read_approvers(*node, out_.approvers);
     const auto* windows = root.get("window");
     if (windows == nullptr) return;
     if (!windows->is_array_of_tables())
-      return fault(line(*windows), "window is no table; expected [[window]]");
+      return add_error(line(*windows), "window is no table; expected [[window]]");
     if (windows->as_array()->size() > kMaxWindows) {
-      return fault(line(*windows), "more than " + std::to_string(kMaxWindows) + " windows");
+      return add_error(line(*windows), "more than " + std::to_string(kMaxWindows) + " windows");
     }
-    for (const auto& item : *windows->as_array()) window(*item.as_table());
+    for (const auto& item : *windows->as_array()) read_window(*item.as_table());
   }
 
-  void names(const toml::node& node, std::set<std::string>& to) {
+  void read_approvers(const toml::node& node, std::set<std::string>& to) {
     const auto* list = node.as_array();
-    if (list == nullptr) return fault(line(node), "approvers is wrong; expected a list of names");
+    if (list == nullptr) return add_error(line(node), "approvers is wrong; expected a list of names");
     for (const auto& item : *list) {
       const auto text = item.value_exact<std::string>();
       if (!text || text->empty() || text->size() > kMaxNameBytes) {
-        fault(line(item),
-              "approvers is wrong; expected names of 1 to " + std::to_string(kMaxNameBytes) + " bytes");
+        add_error(line(item),
+                  "approvers is wrong; expected names of 1 to " + std::to_string(kMaxNameBytes) + " bytes");
       } else if (!to.insert(*text).second) {
-        fault(line(item), "approver '" + *text + "' is given twice");
+        add_error(line(item), "approver '" + *text + "' is given twice");
       }
     }
   }
 
-  void word(const toml::table& table, const char* key, std::string& to, bool needed) {
+  void read_string(const toml::table& table, const char* key, std::string& to, bool required) {
     const auto* node = table.get(key);
-    if (node == nullptr && !needed) return;
+    if (node == nullptr && !required) return;
     const auto text = node == nullptr ? std::nullopt : node->value_exact<std::string>();
     if (!text || text->empty() || text->size() > kMaxNameBytes) {
-      return fault(node == nullptr ? line(table) : line(*node), std::string(key) +
-                                                                    " is missing or wrong; expected 1 to " +
-                                                                    std::to_string(kMaxNameBytes) + " bytes");
+      return add_error(node == nullptr ? line(table) : line(*node),
+                       std::string(key) + " is missing or wrong; expected 1 to " +
+                           std::to_string(kMaxNameBytes) + " bytes");
     }
     to = *text;
   }
 
-  bool time(const toml::table& table, const char* key, Instant& to) {
+  bool read_time(const toml::table& table, const char* key, Instant& to) {
     const auto* node = table.get(key);
     const auto value = node == nullptr ? std::nullopt : node->value_exact<toml::date_time>();
     if (!value || !value->offset) {
-      fault(node == nullptr ? line(table) : line(*node),
-            std::string(key) +
-                " is missing or wrong; expected a date and time with an offset, as "
-                "2027-04-12T00:00:00+07:00");
+      add_error(node == nullptr ? line(table) : line(*node),
+                std::string(key) +
+                    " is missing or wrong; expected a date and time with an offset, as "
+                    "2027-04-12T00:00:00+07:00");
       return false;
     }
     to = instant_of(*value);
     return true;
   }
 
-  void window(const toml::table& table) {
+  void read_window(const toml::table& table) {
     static const std::set<std::string_view> known = {"id",      "name",         "start",       "end",
                                                      "changes", "destinations", "declared_by", "notice_h"};
     Window out;
     out.line = line(table);
     for (const auto& [key, value] : table) {
       if (!known.contains(key.str()))
-        fault(line(value), "'" + std::string(key) + "' is not known in a window");
+        add_error(line(value), "'" + std::string(key) + "' is not known in a window");
     }
-    word(table, "id", out.id, true);
-    word(table, "name", out.name, false);
-    word(table, "declared_by", out.declared_by, true);
-    const bool times = time(table, "start", out.start) & time(table, "end", out.end);
+    read_string(table, "id", out.id, true);
+    read_string(table, "name", out.name, false);
+    read_string(table, "declared_by", out.declared_by, true);
+    const bool times = read_time(table, "start", out.start) & read_time(table, "end", out.end);
     if (times && out.start >= out.end) {
-      fault(out.line, "window '" + out.id + "' ends at or before its start; expected a later end");
+      add_error(out.line, "window '" + out.id + "' ends at or before its start; expected a later end");
     }
-    if (const auto* node = table.get("changes")) kinds(*node, out);
-    if (const auto* node = table.get("destinations")) numbers(*node, out);
+    if (const auto* node = table.get("changes")) read_change_kinds(*node, out);
+    if (const auto* node = table.get("destinations")) read_destinations(*node, out);
     if (const auto* node = table.get("notice_h")) {
       const auto hours = node->value_exact<int64_t>();
-      if (!hours || *hours < 0 || *hours > kMostNoticeH) {
-        fault(line(*node),
-              "notice_h is wrong; expected whole hours from 0 to " + std::to_string(kMostNoticeH));
+      if (!hours || *hours < 0 || *hours > kMaxNoticeHours) {
+        add_error(line(*node),
+                  "notice_h is wrong; expected whole hours from 0 to " + std::to_string(kMaxNoticeHours));
       } else {
         out.notice_s = *hours * 3600;
       }
     }
     if (!out.id.empty() && !ids_.emplace(out.id, out.line).second) {
-      fault(out.line,
-            "window '" + out.id + "' is given twice; first at line " + std::to_string(ids_.at(out.id)));
+      add_error(out.line,
+                "window '" + out.id + "' is given twice; first at line " + std::to_string(ids_.at(out.id)));
     }
     out_.windows.push_back(std::move(out));
   }
 
-  void kinds(const toml::node& node, Window& out) {
+  void read_change_kinds(const toml::node& node, Window& out) {
     const auto* list = node.as_array();
     if (list == nullptr || list->empty()) {
-      return fault(line(node), "changes is wrong; expected a list of kinds, or no such line for all");
+      return add_error(line(node), "changes is wrong; expected a list of kinds, or no such line for all");
     }
     for (const auto& item : *list) {
       const auto text = item.value_exact<std::string>();
       const auto kind = text ? parse_change_kind(*text) : std::nullopt;
       if (!kind) {
-        fault(line(item), "changes is wrong; expected reload, settings, map, limits or calendar");
+        add_error(line(item), "changes is wrong; expected reload, settings, map, limits or calendar");
       } else {
         out.change_kinds.insert(*kind);
       }
     }
   }
 
-  void numbers(const toml::node& node, Window& out) {
+  void read_destinations(const toml::node& node, Window& out) {
     const auto* list = node.as_array();
     if (list == nullptr || list->empty()) {
-      return fault(line(node), "destinations is wrong; expected a list of numbers, or no such line for all");
+      return add_error(line(node),
+                       "destinations is wrong; expected a list of numbers, or no such line for all");
     }
     for (const auto& item : *list) {
       const auto number = item.value_exact<int64_t>();
       if (!number) {
-        fault(line(item), "destinations is wrong; expected whole numbers");
+        add_error(line(item), "destinations is wrong; expected whole numbers");
       } else {
         out.destinations.insert(*number);
       }
@@ -170,7 +171,7 @@
 
   Calendar out_;
   std::map<std::string, int> ids_;
-  std::vector<ValidationError> defects_;
+  std::vector<ValidationError> errors_;
 };
 
 bool in_scope(const Window& window, const Change& change) {
@@ -180,14 +181,14 @@
                      [&](int64_t d) { return window.destinations.contains(d); });
 }
 
-// Within its notice a window binds already whoever would lessen it.
-bool binds(const Window& window, TimeBounds now) {
-  return now.latest >= window.start - window.notice_s * kSecond && now.earliest < window.end;
+// True from the start of its notice until its end: the window may not be reduced then.
+bool is_binding(const Window& window, TimeBounds now) {
+  return now.latest >= window.start - window.notice_s * kMicrosPerSecond && now.earliest < window.end;
 }
 
-// Whether all that `a` covers is covered by `b`.
+// Whether `b` covers everything that `a` covers.
 bool covers(const Window& b, const Window& a) {
-  const auto within = [](const auto& all, const auto& some) {  // empty: all there are
+  const auto within = [](const auto& all, const auto& some) {  // an empty set stands for all
     if (all.empty()) return true;
     return !some.empty() && std::includes(all.begin(), all.end(), some.begin(), some.end());
   };
@@ -264,7 +265,7 @@
     if (!out.closed) {
       if (now.latest < window->start || now.earliest >= window->end) continue;
       out = {true, window->id, window->end, ""};
-    } else if (window->start <= out.reopens_at) {  // joins on
+    } else if (window->start <= out.reopens_at) {  // overlaps or adjoins
       out.reopens_at = std::max(out.reopens_at, window->end);
     }
   }
@@ -276,12 +277,12 @@
   return out;
 }
 
-std::vector<std::string> edit_violations(const Calendar& present, const Calendar& next, TimeBounds now) {
+std::vector<std::string> edit_violations(const Calendar& current, const Calendar& next, TimeBounds now) {
   std::vector<std::string> out;
-  bool bound = false;
-  for (const Window& window : present.windows) {
-    if (!binds(window, now)) continue;
-    bound = true;
+  bool binding = false;
+  for (const Window& window : current.windows) {
+    if (!is_binding(window, now)) continue;
+    binding = true;
     const auto it = std::find_if(next.windows.begin(), next.windows.end(),
                                  [&](const Window& other) { return other.id == window.id; });
     if (it != next.windows.end() && covers(*it, window)) continue;
@@ -290,7 +291,7 @@
                   (it == next.windows.end() ? "removed" : "shortened, moved or narrowed") +
                   " without an exception by two approvers");
   }
-  if (bound && present.approvers != next.approvers) {
+  if (binding && current.approvers != next.approvers) {
     out.push_back("the approvers may not change while a window is in force or within its notice");
   }
   return out;
--- a/freeze/calendar.h
+++ b/freeze/calendar.h
@@ -1,6 +1,6 @@
-// Declared trading periods in which configuration does not change: what a window covers, whether a change may
-// be made now, and what may be done to the calendar itself. Time comes in bounds, as no single clock is to be
-// trusted; where a bound touches a window, changes are closed. No I/O, no clock.
+// Freeze calendar: declared trading periods in which configuration must not change. Decides whether a change
+// is allowed now, and which edits of the calendar itself are. Time is given as bounds, as no single clock is
+// trusted; a change is closed if any time within the bounds is in a window. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -27,12 +27,12 @@
 struct Window {
   std::string id;
   std::string name;
-  Instant start = 0;                  // inside
-  Instant end = 0;                    // outside
+  Instant start = 0;                  // inclusive
+  Instant end = 0;                    // exclusive
   std::set<ChangeKind> change_kinds;  // empty: all
   std::set<int64_t> destinations;     // empty: all
   std::string declared_by;
-  int64_t notice_s = 0;  // so long before its start it already binds whoever would shorten, move or remove it
+  int64_t notice_s = 0;  // this long before its start the window can no longer be shortened, moved or removed
   int line = 0;
   bool operator==(const Window& o) const {
     return id == o.id && name == o.name && start == o.start && end == o.end &&
@@ -43,7 +43,7 @@
 
 struct Calendar {
   std::vector<Window> windows;      // by id
-  std::set<std::string> approvers;  // of exceptions
+  std::set<std::string> approvers;  // of exceptions, by name
   bool operator==(const Calendar&) const = default;
 };
 
@@ -59,31 +59,30 @@
 std::optional<Instant> parse_instant(std::string_view text);
 std::string format_instant(Instant instant);  // in UTC
 
-struct TimeBounds {  // the true time is in between, both ends inside
+struct TimeBounds {  // the true time is within, both ends inclusive
   Instant earliest = 0;
   Instant latest = 0;
 };
 
 struct Change {
   ChangeKind kind = ChangeKind::kSettings;
-  std::set<int64_t> destinations;  // that it touches; empty: any
+  std::set<int64_t> destinations;  // affected by the change; empty: any
 };
 
 struct FreezeDecision {
   bool closed = false;
-  std::string window_id;   // its id; the first one in scope, by start
-  Instant reopens_at = 0;  // when changes of this kind are open again, windows that join on included
-  std::string reason;      // one sentence: window, end and the way out
+  std::string window_id;   // the first window in scope that is in force, by start
+  Instant reopens_at = 0;  // when such changes are allowed again, after adjoining windows too
+  std::string reason;      // one sentence: window, end and what to do
 };
 
 FreezeDecision evaluate(const Calendar& calendar, const Change& change, TimeBounds now);
 
-// What stands in the way of taking `next` in place of `present`: windows that are in force or within their
-// notice may only be extended, and others declared. Empty: nothing. Approvers may change while no window
-// binds.
-std::vector<std::string> edit_violations(const Calendar& present, const Calendar& next, TimeBounds now);
+// The rules that replacing `current` by `next` would break; empty: none. A window that is in force or within
+// its notice may only be extended, and approvers may not change while there is one. New windows may be added.
+std::vector<std::string> edit_violations(const Calendar& current, const Calendar& next, TimeBounds now);
 
-// The first start after `from` of a window in scope; nothing: none comes.
+// The first start after `from` of a window in scope; nullopt: there is none.
 std::optional<Instant> next_window_start(const Calendar& calendar, const Change& change, Instant from);
 
 }  // namespace umberhoist::freeze
--- a/shards/map.cpp
+++ b/shards/map.cpp
@@ -18,30 +18,31 @@
       read(state::parse_toml(text));
     } catch (const toml::parse_error& error) {
       std::string what(error.description());
-      fault(static_cast<int>(error.source().begin.line), what);
+      add_error(static_cast<int>(error.source().begin.line), what);
     }
-    if (!defects_.empty()) {
-      std::stable_sort(defects_.begin(), defects_.end(),
+    if (!errors_.empty()) {
+      std::stable_sort(errors_.begin(), errors_.end(),
                        [](const ValidationError& a, const ValidationError& b) { return a.line < b.line; });
-      return defects_;
+      return errors_;
     }
     return map_;
   }
 
  private:
   static int line(const toml::node& node) { return static_cast<int>(node.source().begin.line); }
-  void fault(int at, std::string what) { defects_.push_back({at, std::move(what)}); }
+  void add_error(int at, std::string what) { errors_.push_back({at, std::move(what)}); }
 
   void read(const toml::table& root) {
     for (const auto& [key, value] : root) {
       if (key != "epoch" && key != "hash" && key != "range") {
-        fault(line(value), "'" + std::string(key) + "' is not known; expected epoch, hash and range");
+        add_error(line(value), "'" + std::string(key) + "' is not known; expected epoch, hash and range");
       }
     }
     const auto* epoch = root.get("epoch");
     const auto number = epoch == nullptr ? std::nullopt : epoch->value_exact<int64_t>();
     if (!number || *number < 1) {
-      fault(epoch == nullptr ? 0 : line(*epoch), "epoch is missing or wrong; expected a whole number from 1");
+      add_error(epoch == nullptr ? 0 : line(*epoch),
+                "epoch is missing or wrong; expected a whole number from 1");
     } else {
       map_.epoch = static_cast<uint64_t>(*number);
       map_.epoch_line = line(*epoch);
@@ -49,18 +50,18 @@
     const auto* hash = root.get("hash");
     const auto name = hash == nullptr ? std::nullopt : hash->value_exact<std::string>();
     if (!name) {
-      fault(hash == nullptr ? 0 : line(*hash), "hash is missing or wrong; expected \"xxh64\"");
+      add_error(hash == nullptr ? 0 : line(*hash), "hash is missing or wrong; expected \"xxh64\"");
     } else {
       map_.hash = *name;
       map_.hash_line = line(*hash);
     }
     const auto* ranges = root.get("range");
     if (ranges == nullptr || !ranges->is_array_of_tables()) {
-      return fault(ranges == nullptr ? 0 : line(*ranges), "no range; expected tables [[range]]");
+      return add_error(ranges == nullptr ? 0 : line(*ranges), "no range; expected tables [[range]]");
     }
     if (ranges->as_array()->size() > kMaxRanges) {
-      return fault(line(*ranges), std::to_string(ranges->as_array()->size()) + " ranges; expected at most " +
-                                      std::to_string(kMaxRanges));
+      return add_error(line(*ranges), std::to_string(ranges->as_array()->size()) +
+                                          " ranges; expected at most " + std::to_string(kMaxRanges));
     }
     for (const auto& item : *ranges->as_array()) range(*item.as_table());
   }
@@ -70,7 +71,7 @@
     out.line = line(table);
     for (const auto& [key, value] : table) {
       if (key != "first" && key != "last" && key != "owner") {
-        fault(line(value), "'" + std::string(key) + "' is not known; expected first, last and owner");
+        add_error(line(value), "'" + std::string(key) + "' is not known; expected first, last and owner");
       }
     }
     bound(table, "first", out.first);
@@ -78,9 +79,9 @@
     const auto* owner = table.get("owner");
     const auto name = owner == nullptr ? std::nullopt : owner->value_exact<std::string>();
     if (!name || name->empty() || name->size() > kMaxNameBytes || !state::is_printable_ascii(*name)) {
-      fault(owner == nullptr ? out.line : line(*owner),
-            "owner is missing or wrong; expected a name of 1 to " + std::to_string(kMaxNameBytes) +
-                " plain letters");
+      add_error(owner == nullptr ? out.line : line(*owner),
+                "owner is missing or wrong; expected a name of 1 to " + std::to_string(kMaxNameBytes) +
+                    " plain letters");
     } else {
       out.owner = *name;
     }
@@ -94,12 +95,12 @@
       const auto [end, error] = std::from_chars(text->data(), text->data() + 16, to, 16);
       if (error == std::errc() && end == text->data() + 16) return;
     }
-    fault(node == nullptr ? line(table) : line(*node),
-          std::string(key) + " is missing or wrong; expected 16 hexadecimal digits in quotes");
+    add_error(node == nullptr ? line(table) : line(*node),
+              std::string(key) + " is missing or wrong; expected 16 hexadecimal digits in quotes");
   }
 
   Map map_;
-  std::vector<ValidationError> defects_;
+  std::vector<ValidationError> errors_;
 };
 
 std::string quoted(const std::string& text) {
--- a/shards/map.h
+++ b/shards/map.h
@@ -1,5 +1,5 @@
-// Which relay answers for which destination: ranges of a 64-bit key space, each with one owner, under an
-// epoch. Plain values, their TOML, and the place of a destination in the space. No I/O.
+// Shard map: which relay owns which destinations. A 64-bit key space is divided into ranges, each with one
+// owner; an epoch numbers the map. Plain values, their TOML form, and the key of a destination. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,16 @@
 
 using Key = uint64_t;
 
-inline constexpr std::string_view kHash = "xxh64";  // the only one so far; named in every map all the same
-constexpr size_t kMaxRanges = 4096;                 // of one map: a longer file is refused as a whole
-constexpr size_t kMaxNameBytes = 64;                // bytes of an owner's name
+inline constexpr std::string_view kHash =
+    "xxh64";                          // the only hash so far; every map names it, so that another can follow
+constexpr size_t kMaxRanges = 4096;   // in one map; a file with more is refused
+constexpr size_t kMaxNameBytes = 64;  // of an owner
 
-struct Range {  // both ends inside
+struct Range {  // both ends inclusive
   Key first = 0;
   Key last = 0;
   std::string owner;
-  int line = 0;  // of the file that it was read from; 0: none
+  int line = 0;  // in the source file; 0: not read from a file
   bool operator==(const Range& other) const {
     return first == other.first && last == other.last && owner == other.owner;
   }
@@ -38,23 +39,22 @@
   }
 };
 
-// One thing that is wrong, where, and what was expected.
+// One error: what is wrong and what was expected.
 struct ValidationError {
-  int line = 0;  // of the file; 0: of no line in particular
+  int line = 0;  // in the source file; 0: no particular line
   std::string message;
   bool operator==(const ValidationError&) const = default;
 };
 
-// XXH64, seed 0, of the destination's number as eight bytes, least first.
+// XXH64, seed 0, of the destination's number as eight little-endian bytes.
 Key key_of(int64_t destination);
 
-// Who owns it in a map that validates; nothing if no range holds it.
+// The range that holds the key, or nullptr. The map must be valid.
 const Range* find_range(const Map& map, Key key);
 
 std::string hex(Key key);  // sixteen digits
 
-// All that is wrong with the form of the file is told at once, by line. What the ranges say is the
-// validator's matter.
+// Returns all errors in the form of the file, sorted by line. validate() checks the content of the ranges.
 std::variant<Map, std::vector<ValidationError>> parse_map(std::string_view toml);
 std::string to_toml(const Map& map);
 
--- a/shards/plan.cpp
+++ b/shards/plan.cpp
@@ -7,13 +7,13 @@
 namespace umberhoist::shards {
 namespace {
 
-using Wide = unsigned __int128;  // 2^64 keys do not fit in 64 bits
+using KeyCount = unsigned __int128;  // 2^64 keys do not fit in 64 bits
 
-const Wide kAll = Wide{1} << 64;
+const KeyCount kAllKeys = KeyCount{1} << 64;
 
 bool can_own(const Member& m) { return m.live && !m.leaving && m.in_current_generation && m.weight > 0; }
 
-std::map<std::string, double> weights(const std::vector<Member>& members) {
+std::map<std::string, double> owner_weights(const std::vector<Member>& members) {
   std::map<std::string, double> out;
   for (const Member& member : members) {
     if (can_own(member)) out[member.name] = member.weight;
@@ -21,24 +21,24 @@
   return out;
 }
 
-// Whole keys that each should have; what rounding leaves goes to the first ones.
-std::map<std::string, Wide> due(const std::map<std::string, double>& weights) {
+// Number of keys that each member should have. The first one gets the rest that rounding leaves.
+std::map<std::string, KeyCount> target_keys(const std::map<std::string, double>& owner_weights) {
   double total = 0;
-  for (const auto& [name, weight] : weights) total += weight;
-  std::map<std::string, Wide> out;
-  Wide given = 0;
-  for (const auto& [name, weight] : weights) {
-    const auto keys = static_cast<Wide>(std::floor(weight / total * 0x1p62)) << 2;
-    out[name] = std::min(keys, kAll - given);
-    given += out[name];
+  for (const auto& [name, weight] : owner_weights) total += weight;
+  std::map<std::string, KeyCount> out;
+  KeyCount assigned = 0;
+  for (const auto& [name, weight] : owner_weights) {
+    const auto keys = static_cast<KeyCount>(std::floor(weight / total * 0x1p62)) << 2;
+    out[name] = std::min(keys, kAllKeys - assigned);
+    assigned += out[name];
   }
-  if (!out.empty()) out.begin()->second += kAll - given;
+  if (!out.empty()) out.begin()->second += kAllKeys - assigned;
   return out;
 }
 
-Wide size(const Range& range) { return Wide{range.last} - range.first + 1; }
+KeyCount size(const Range& range) { return KeyCount{range.last} - range.first + 1; }
 
-Map joined(Map map) {
+Map merge_adjacent(Map map) {
   std::vector<Range> out;
   for (Range& range : map.ranges) {
     if (!out.empty() && out.back().owner == range.owner) {
@@ -51,27 +51,27 @@
   return map;
 }
 
-// Goes over the present ranges and gives away what may move, to those who lack most, `budget` keys at most.
-// `surplus`: how many keys an owner has to give; those that it does not name give nothing.
-Map hand_over(const Map& present, std::map<std::string, Wide> surplus, std::map<std::string, Wide> lacking,
-              Wide budget) {
-  Map out = present;
-  out.epoch = present.epoch + 1;
+// Moves keys from owners with a surplus to the member with the largest shortfall, at most `max_keys` in
+// total, in the order of the current ranges. Owners that are not in `surplus` keep all their keys.
+Map reassign(const Map& current, std::map<std::string, KeyCount> surplus,
+             std::map<std::string, KeyCount> shortfall, KeyCount max_keys) {
+  Map out = current;
+  out.epoch = current.epoch + 1;
   out.epoch_line = out.hash_line = 0;
   out.ranges.clear();
-  const auto neediest = [&] {
-    return std::max_element(lacking.begin(), lacking.end(),
+  const auto largest_shortfall = [&] {
+    return std::max_element(shortfall.begin(), shortfall.end(),
                             [](const auto& a, const auto& b) { return a.second < b.second; });
   };
-  for (Range range : present.ranges) {
+  for (Range range : current.ranges) {
     range.line = 0;
-    auto gives = surplus.find(range.owner);
-    while (gives != surplus.end() && gives->second > 0 && budget > 0) {
-      const auto to = neediest();
-      if (to == lacking.end() || to->second == 0) break;
-      const Wide keys = std::min({gives->second, budget, to->second, size(range)});
-      gives->second -= keys;
-      budget -= keys;
+    auto available = surplus.find(range.owner);
+    while (available != surplus.end() && available->second > 0 && max_keys > 0) {
+      const auto to = largest_shortfall();
+      if (to == shortfall.end() || to->second == 0) break;
+      const KeyCount keys = std::min({available->second, max_keys, to->second, size(range)});
+      available->second -= keys;
+      max_keys -= keys;
       to->second -= keys;
       const Key last = range.first + static_cast<Key>(keys - 1);
       out.ranges.push_back({range.first, last, to->first, 0});
@@ -83,11 +83,11 @@
     }
     if (!range.owner.empty()) out.ranges.push_back(std::move(range));
   }
-  return joined(std::move(out));
+  return merge_adjacent(std::move(out));
 }
 
-std::map<std::string, Wide> held(const Map& map) {
-  std::map<std::string, Wide> out;
+std::map<std::string, KeyCount> owned_keys(const Map& map) {
+  std::map<std::string, KeyCount> out;
   for (const Range& range : map.ranges) out[range.owner] += size(range);
   return out;
 }
@@ -95,11 +95,11 @@
 }  // namespace
 
 std::optional<Map> initial_map(const std::vector<Member>& members, uint64_t epoch) {
-  const auto shares = due(weights(members));
+  const auto shares = target_keys(owner_weights(members));
   if (shares.empty()) return std::nullopt;
   Map out;
   out.epoch = epoch;
-  Wide next = 0;
+  KeyCount next = 0;
   for (const auto& [name, keys] : shares) {
     if (keys == 0) continue;
     out.ranges.push_back({static_cast<Key>(next), static_cast<Key>(next + keys - 1), name, 0});
@@ -108,67 +108,68 @@
   return out;
 }
 
-std::optional<Map> repair(const Map& present, const std::vector<Member>& members) {
-  std::map<std::string, bool> sound;
-  for (const Member& member : members) sound[member.name] = member.live && member.in_current_generation;
-  const auto has = held(present);
-  std::map<std::string, Wide> lost;
-  Wide all = 0;
-  for (const auto& [owner, keys] : has) {
-    if (const auto it = sound.find(owner); it != sound.end() && it->second) continue;
+std::optional<Map> repair(const Map& current, const std::vector<Member>& members) {
+  std::map<std::string, bool> is_healthy;
+  for (const Member& member : members) is_healthy[member.name] = member.live && member.in_current_generation;
+  const auto owned = owned_keys(current);
+  std::map<std::string, KeyCount> lost;
+  KeyCount all = 0;
+  for (const auto& [owner, keys] : owned) {
+    if (const auto it = is_healthy.find(owner); it != is_healthy.end() && it->second) continue;
     lost[owner] = keys;
     all += keys;
   }
-  const auto can = weights(members);
-  if (lost.empty() || can.empty()) return std::nullopt;
-  // Up to what each should have; if that is not enough for all of it, the rest by weight too.
-  std::map<std::string, Wide> lacking = due(can);
-  Wide room = 0;
-  for (auto& [name, keys] : lacking) {
-    const Wide now = has.contains(name) ? has.at(name) : 0;
+  const auto eligible = owner_weights(members);
+  if (lost.empty() || eligible.empty()) return std::nullopt;
+  // Fill each member up to its target; if that does not take all lost keys, spread the rest by weight.
+  std::map<std::string, KeyCount> shortfall = target_keys(eligible);
+  KeyCount room = 0;
+  for (auto& [name, keys] : shortfall) {
+    const KeyCount now = owned.contains(name) ? owned.at(name) : 0;
     keys = keys > now ? keys - now : 0;
     room += keys;
   }
   if (room < all) {
     double total = 0;
-    for (const auto& [name, weight] : can) total += weight;
+    for (const auto& [name, weight] : eligible) total += weight;
     const double rest = static_cast<double>(all - room);
-    for (auto& [name, keys] : lacking) {
-      keys = std::min(kAll, keys + static_cast<Wide>(std::ceil(rest * can.at(name) / total)) + 4096);
+    for (auto& [name, keys] : shortfall) {
+      keys = std::min(kAllKeys,
+                      keys + static_cast<KeyCount>(std::ceil(rest * eligible.at(name) / total)) + 4096);
     }
   }
-  return hand_over(present, lost, lacking, kAll);
+  return reassign(current, lost, shortfall, kAllKeys);
 }
 
-std::optional<Map> rebalance(const Map& present, const std::vector<Member>& members,
-                             const MapLimits& bounds) {
-  const auto can = weights(members);
-  if (can.empty()) return std::nullopt;
-  const auto shares = due(can);
-  const auto has = held(present);
-  bool wanted = false;
-  std::map<std::string, Wide> surplus, lacking;
-  for (const auto& [owner, keys] : has) {
+std::optional<Map> rebalance(const Map& current, const std::vector<Member>& members,
+                             const MapLimits& limits) {
+  const auto eligible = owner_weights(members);
+  if (eligible.empty()) return std::nullopt;
+  const auto shares = target_keys(eligible);
+  const auto owned = owned_keys(current);
+  bool needed = false;
+  std::map<std::string, KeyCount> surplus, shortfall;
+  for (const auto& [owner, keys] : owned) {
     const auto it = shares.find(owner);
     if (it == shares.end()) {
       surplus[owner] = keys;
-      wanted = true;
+      needed = true;
     } else if (keys > it->second) {
       surplus[owner] = keys - it->second;
     }
   }
   for (const auto& [name, keys] : shares) {
-    const Wide now = has.contains(name) ? has.at(name) : 0;
+    const KeyCount now = owned.contains(name) ? owned.at(name) : 0;
     const double ratio = static_cast<double>(now) / static_cast<double>(keys);
-    // A little inside the bound, so that what is planned validates in spite of rounding.
-    if (ratio < 1 / (bounds.share_factor * 0.99) || ratio > bounds.share_factor * 0.99) wanted = true;
-    if (now < keys) lacking[name] = keys - now;
+    // 1 % inside the limit, so that the plan validates in spite of rounding.
+    if (ratio < 1 / (limits.share_factor * 0.99) || ratio > limits.share_factor * 0.99) needed = true;
+    if (now < keys) shortfall[name] = keys - now;
   }
-  if (!wanted || lacking.empty()) return std::nullopt;
-  const auto budget = static_cast<Wide>(std::floor(std::clamp(bounds.max_moved_share, 0.0, 1.0) * 0x1p62))
-                      << 2;
-  if (budget == 0) return std::nullopt;
-  return hand_over(present, surplus, lacking, budget);
+  if (!needed || shortfall.empty()) return std::nullopt;
+  const auto max_keys =
+      static_cast<KeyCount>(std::floor(std::clamp(limits.max_moved_share, 0.0, 1.0) * 0x1p62)) << 2;
+  if (max_keys == 0) return std::nullopt;
+  return reassign(current, surplus, shortfall, max_keys);
 }
 
 }  // namespace umberhoist::shards
--- a/shards/plan.h
+++ b/shards/plan.h
@@ -1,5 +1,5 @@
-// Maps that need few moves and always validate: the first one, the repair of a lost owner's keys, and a
-// rebalance in steps.
+// Plans maps that move few keys and always pass validate(): the initial map, the repair after the loss of an
+// owner, and a rebalance in steps.
 #pragma once
 
 #include <optional>
@@ -8,15 +8,15 @@
 
 namespace umberhoist::shards {
 
-// By weight, one range for each member that can own. Nothing if none can.
+// One range for each member that may own keys, in proportion to its weight. nullopt if there is none.
 std::optional<Map> initial_map(const std::vector<Member>& members, uint64_t epoch = 1);
 
-// The keys of owners that are lost (no member, not live, or of an earlier generation) go to those who have
-// least for their weight; nothing else moves. Nothing if all owners are well, or nobody can own.
-std::optional<Map> repair(const Map& present, const std::vector<Member>& members);
+// Moves the keys of lost owners (not a member, not live, or of an earlier generation) to the members that
+// have least for their weight; nothing else moves. nullopt if no owner is lost, or no member may own keys.
+std::optional<Map> repair(const Map& current, const std::vector<Member>& members);
 
-// One step towards shares by weight that moves no more than the bounds allow. Nothing if the shares are
-// within the bounds, no owner leaves, and each member that can own does so.
-std::optional<Map> rebalance(const Map& present, const std::vector<Member>& members, const MapLimits& bounds);
+// One step towards shares in proportion to weight, within the limits on moved keys. nullopt if all shares are
+// within the limits, no owner is leaving, and each member that may own keys does.
+std::optional<Map> rebalance(const Map& current, const std::vector<Member>& members, const MapLimits& limits);
 
 }  // namespace umberhoist::shards
--- a/shards/validate.h
+++ b/shards/validate.h
@@ -1,5 +1,6 @@
-// Judges a proposed map: every key exactly once, owners that can own, shares and moves within bounds. A pure
-// function, so that the same words are said by the command line, by the register, and once more at commit.
+// Validates a proposed map: every key has exactly one owner, the owners may own keys, shares and moves are
+// within limits. A pure function, so that umberhoistctl, the register's check of a proposal and its check at
+// commit give the same messages.
 #pragma once
 
 #include "shards/map.h"
@@ -8,39 +9,38 @@
 
 struct Member {
   std::string name;
-  double weight = 1;  // share of the keys that it should have, against the others'
+  double weight = 1;  // share of the keys, relative to the other members
   std::string zone;
   bool live = true;
   bool leaving = false;
-  bool in_current_generation = true;  // false: known from before the last restore only
+  bool in_current_generation = true;  // false: not seen since the last restore
 };
 
 struct MapLimits {
-  // An owner's share is at most this many times what its weight gives it, and a member with weight has a
-  // share of at least that divided by it. Where the present map is outside already, no further out. 0: shares
-  // are not judged.
+  // The share of a member must be within this factor of the share due by its weight. A share that is outside
+  // in the current map may stay, but not get further out. 0: shares are not checked.
   double share_factor = 2;
-  double max_moved_share = 0.25;   // of all keys, in one step; not held against a repair
-  bool require_two_zones = false;  // owners in at least two zones, while live members are in two
-  Key last_key = UINT64_MAX;       // smaller only for a test's brute-force judge
+  double max_moved_share = 0.25;   // part of all keys that one rebalance may move; not applied to a repair
+  bool require_two_zones = false;  // owners in at least two zones, if members that may own keys are
+  Key last_key = UINT64_MAX;       // smaller only in tests, to compare with a brute-force check
 };
 
-enum class MapChangeType { kRebalance, kRepair };  // a repair moves what a lost owner had, and nothing else
+enum class MapChangeType { kRebalance, kRepair };  // a repair moves only the keys of lost owners
 
-struct ValidationContext {  // what is not given is not judged
+struct ValidationContext {  // checks that need a missing part are skipped
   const Map* current = nullptr;
   const std::vector<Member>* members = nullptr;
   MapLimits limits;
   MapChangeType change_type = MapChangeType::kRebalance;
 };
 
-// All defects: first the form and the cover, in the order of keys, then owners, then what the present map and
-// the members say. The same order each time.
-std::vector<ValidationError> validate(const Map& proposed, const ValidationContext& against);
+// All errors, in a stable order: first header, ranges and coverage, then owners, then the checks against the
+// members and the current map.
+std::vector<ValidationError> validate(const Map& proposed, const ValidationContext& context);
 
-// Parts of 2^64 (or of the smaller space), by owner and in order of names.
+// Part of the key space of each owner, sorted by name.
 std::vector<std::pair<std::string, double>> shares(const Map& map, Key last_key = UINT64_MAX);
-// Part of the keys whose owner differs. Both maps cover everything once.
+// Part of the keys whose owner differs. Both maps must cover each key once.
 double moved_share(const Map& from, const Map& to, Key last_key = UINT64_MAX);
 
 }  // namespace umberhoist::shards
--- a/tests/register/planted.cmake
+++ b/tests/register/planted.cmake
@@ -23,9 +23,9 @@
   "if (planted::is(\"one-clock\")) continue;
     low = std::min(low, now_.steady_us + clock.low);")
 umberhoist_plant(shards/validate.cpp
-  "if (!ended) fault(0, \"gap \" + bounds(next, against_.limits.last_key) + \": no owner\");"
-  "if (!ended && !(planted::is(\"last-key-left-out\") && next == against_.limits.last_key)) {
-      fault(0, \"gap \" + bounds(next, against_.limits.last_key) + \": no owner\");
+  "if (!last_key_covered) add_error(0, \"gap \" + bounds(next, context_.limits.last_key) + \": no owner\");"
+  "if (!last_key_covered && !(planted::is(\"last-key-left-out\") && next == context_.limits.last_key)) {
+      add_error(0, \"gap \" + bounds(next, context_.limits.last_key) + \": no owner\");
     }")
 umberhoist_plant(shards/validate.cpp
   "return other->last < range->first;"
