--- a/tests/durability_test.cpp
+++ b/tests/durability_test.cpp
@@ -16,36 +16,36 @@
 using umberhoist::state::Files;
 
 // The real folder; a sync waits for a permit, and takes the verdict that comes with it.
-class HeldFiles : public Files {
+class GatedFiles : public Files {
  public:
-  explicit HeldFiles(std::unique_ptr<Files> files) : files_(std::move(files)) {}
+  explicit GatedFiles(std::unique_ptr<Files> files) : files_(std::move(files)) {}
 
-  void hold() {
+  void block_syncs() {
     const std::lock_guard lock(mutex_);
-    held_ = true;
-    entered_ = 0;
+    blocked_ = true;
+    syncs_ = 0;
   }
-  void permit(bool good) {
+  void allow_sync(bool ok) {
     const std::lock_guard lock(mutex_);
-    permits_.push_back(good);
+    results_.push_back(ok);
     changed_.notify_all();
   }
-  void release() {
+  void unblock_syncs() {
     const std::lock_guard lock(mutex_);
-    held_ = false;
+    blocked_ = false;
     changed_.notify_all();
   }
-  bool entered(int times) {  // since `hold`
+  bool wait_for_syncs(int times) {  // since `hold`
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, std::chrono::milliseconds(kDeadlineMs), [&] { return entered_ >= times; });
+    return changed_.wait_for(lock, std::chrono::milliseconds(kDeadlineMs), [&] { return syncs_ >= times; });
   }
 
   std::vector<std::string> list() override { return files_->list(); }
   int create(const std::string& name) override { return files_->create(name); }
   int open(const std::string& name) override { return files_->open(name); }
   ssize_t append(int file, std::string_view bytes) override { return files_->append(file, bytes); }
-  ssize_t read(int file, size_t at, char* to, size_t most) override {
-    return files_->read(file, at, to, most);
+  ssize_t read(int file, size_t at, char* to, size_t max_bytes) override {
+    return files_->read(file, at, to, max_bytes);
   }
   ssize_t size(int file) override { return files_->size(file); }
   bool truncate(int file, size_t size) override { return files_->truncate(file, size); }
@@ -54,13 +54,13 @@
   void close(int file) override { files_->close(file); }
   bool sync(int file) override {
     std::unique_lock lock(mutex_);
-    ++entered_;
+    ++syncs_;
     changed_.notify_all();
-    changed_.wait(lock, [&] { return !held_ || !permits_.empty(); });
-    if (permits_.empty()) return files_->sync(file);
-    const bool good = permits_.front();
-    permits_.pop_front();
-    return good;
+    changed_.wait(lock, [&] { return !blocked_ || !results_.empty(); });
+    if (results_.empty()) return files_->sync(file);
+    const bool ok = results_.front();
+    results_.pop_front();
+    return ok;
   }
   bool sync_folder() override { return files_->sync_folder(); }
   void drop_page_cache(int file) override { files_->drop_page_cache(file); }
@@ -69,9 +69,9 @@
   std::unique_ptr<Files> files_;
   std::mutex mutex_;
   std::condition_variable changed_;
-  bool held_ = false;
-  int entered_ = 0;
-  std::deque<bool> permits_;
+  bool blocked_ = false;
+  int syncs_ = 0;
+  std::deque<bool> results_;
 };
 
 class GroupDurability : public ::testing::Test {
@@ -80,26 +80,27 @@
     nlohmann::json config = config_json(discovery_.address(),
                                         {member_json("s-1", "127.0.0.1:" + std::to_string(host_.port()), 7)});
     config["durability"] = "group";
-    auto files = std::make_unique<HeldFiles>(umberhoist::state::make_posix_files(folder_));
+    auto files = std::make_unique<GatedFiles>(umberhoist::state::make_posix_files(folder_));
     files_ = files.get();
     std::promise<uint16_t> listening;
     relay_ = std::make_unique<relay::Relay>(
         io_, relay::parse_config(config.dump(), folder_),
-        [&](const relay::tcp::endpoint& at) { listening.set_value(at.port()); }, std::move(files));
+        [&](const relay::tcp::endpoint& endpoint) { listening.set_value(endpoint.port()); },
+        std::move(files));
     loop_ = std::thread([this] { io_.run(); });
     port_ = listening.get_future().get();
     // A call that stays open: its first byte shows that the sync of all that was written before it has ended,
     // and nothing more is written. From here on each sync is the test's.
     Socket client = this->client();
-    client.send(put_command("00000000000000a0", kFacts));
+    client.send(put_command("00000000000000a0", kAttributes));
     EXPECT_EQ(client.read_line(), "+OK");
-    open_ = host_.accept();
-    EXPECT_TRUE(read_request(open_));
+    open_call_ = host_.accept();
+    EXPECT_TRUE(read_request(open_call_));
     EXPECT_EQ(ping(), "+PONG");
-    files_->hold();
+    files_->block_syncs();
   }
   ~GroupDurability() override {
-    files_->release();
+    files_->unblock_syncs();
     boost::asio::post(io_, [this] { io_.stop(); });
     loop_.join();
     relay_.reset();
@@ -113,22 +114,22 @@
     other.send("*1\r\n$4\r\nPING\r\n");
     return other.read_line();
   }
-  static bool silent(const Socket& socket) {
-    pollfd poll{socket.fd(), POLLIN, 0};
-    return ::poll(&poll, 1, 0) == 0;
+  static bool has_no_input(const Socket& socket) {
+    pollfd waiting{socket.fd(), POLLIN, 0};
+    return ::poll(&waiting, 1, 0) == 0;
   }
   static std::filesystem::path make_folder() {
     std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-test-XXXXXX";
     return ::mkdtemp(pattern.data());
   }
 
-  static constexpr const char* kFacts = "c=safe,d=60000,dest=7";
+  static constexpr const char* kAttributes = "c=safe,d=60000,dest=7";
   std::filesystem::path folder_ = make_folder();
   FakeDiscovery discovery_;
   Socket host_ = Socket::listen();
-  Socket open_;
+  Socket open_call_;
   boost::asio::io_context io_{1};
-  HeldFiles* files_ = nullptr;
+  GatedFiles* files_ = nullptr;
   std::unique_ptr<relay::Relay> relay_;
   std::thread loop_;
   uint16_t port_ = 0;
@@ -136,22 +137,22 @@
 
 TEST_F(GroupDurability, NothingIsAnsweredOrSentBeforeTheDiskHasIt) {
   Socket first = client();
-  first.send(put_command("00000000000000a1", kFacts));
-  ASSERT_TRUE(files_->entered(1));
+  first.send(put_command("00000000000000a1", kAttributes));
+  ASSERT_TRUE(files_->wait_for_syncs(1));
   Socket call = host_.accept();  // connected, and no more
   Socket second = client();
-  second.send(put_command("00000000000000a2", kFacts));
+  second.send(put_command("00000000000000a2", kAttributes));
   EXPECT_EQ(ping(), "+PONG") << "the loop goes on";
-  EXPECT_TRUE(silent(first));
-  EXPECT_TRUE(silent(call));
-  files_->permit(true);
+  EXPECT_TRUE(has_no_input(first));
+  EXPECT_TRUE(has_no_input(call));
+  files_->allow_sync(true);
   EXPECT_EQ(first.read_line(), "+OK");
   // The second one, and the first one's attempt, came after that sync had begun: one more covers both.
-  ASSERT_TRUE(files_->entered(2));
+  ASSERT_TRUE(files_->wait_for_syncs(2));
   EXPECT_EQ(ping(), "+PONG");
-  EXPECT_TRUE(silent(second));
-  EXPECT_TRUE(silent(call));
-  files_->release();
+  EXPECT_TRUE(has_no_input(second));
+  EXPECT_TRUE(has_no_input(call));
+  files_->unblock_syncs();
   EXPECT_EQ(second.read_line(), "+OK");
   const auto request = read_request(call);
   ASSERT_TRUE(request);
@@ -160,15 +161,15 @@
 
 TEST_F(GroupDurability, AFailedSyncClaimsNothingAndIsMadeUpFor) {
   Socket first = client();
-  first.send(put_command("00000000000000a1", kFacts));
-  ASSERT_TRUE(files_->entered(1));
+  first.send(put_command("00000000000000a1", kAttributes));
+  ASSERT_TRUE(files_->wait_for_syncs(1));
   Socket call = host_.accept();
-  files_->permit(false);
-  ASSERT_TRUE(files_->entered(2));  // tried again, with all of it written anew
+  files_->allow_sync(false);
+  ASSERT_TRUE(files_->wait_for_syncs(2));  // tried again, with all of it written anew
   EXPECT_EQ(ping(), "+PONG");
-  EXPECT_TRUE(silent(first));
-  EXPECT_TRUE(silent(call));
-  files_->release();
+  EXPECT_TRUE(has_no_input(first));
+  EXPECT_TRUE(has_no_input(call));
+  files_->unblock_syncs();
   EXPECT_EQ(first.read_line(), "+OK");
   const auto request = read_request(call);
   ASSERT_TRUE(request);
@@ -180,13 +181,13 @@
 TEST_F(GroupDurability, ACallWhoseTimeEndsWhileItsRecordIsSyncedNeverRan) {
   Socket first = client();
   first.send(put_command("00000000000000a1", "c=unsafe,d=1500,dest=7"));
-  ASSERT_TRUE(files_->entered(1));
+  ASSERT_TRUE(files_->wait_for_syncs(1));
   Socket call = host_.accept();
-  files_->permit(true);
+  files_->allow_sync(true);
   EXPECT_EQ(first.read_line(), "+OK");
-  ASSERT_TRUE(files_->entered(2));  // of the attempt's record
+  ASSERT_TRUE(files_->wait_for_syncs(2));  // of the attempt's record
   EXPECT_TRUE(call.closed_by_peer()) << "something was written";
-  files_->release();
+  files_->unblock_syncs();
   EXPECT_EQ(discovery_.next_notice().at("state"), "returned");
 }
 
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -164,7 +164,7 @@
 
 FakeDiscovery::FakeDiscovery() {
   acceptor_ = std::thread([this] {
-    while (!over_) {
+    while (!stopped_) {
       if (!readable(listener_.fd(), 50)) continue;
       threads_.emplace_back(
           [this, connection = listener_.accept()]() mutable { serve(std::move(connection)); });
@@ -173,7 +173,7 @@
 }
 
 FakeDiscovery::~FakeDiscovery() {
-  over_ = true;
+  stopped_ = true;
   acceptor_.join();
   for (std::thread& thread : threads_) thread.join();
 }
@@ -184,23 +184,23 @@
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     return connection.send(size + text + "\r\n");
   };
-  while (!over_) {
+  while (!stopped_) {
     if (!readable(connection.fd(), 50)) continue;
     const auto request = read_request(connection);
     if (!request) return;
     if (request->request_line.starts_with("GET")) {
-      if (mute_) continue;
+      if (silent_) continue;
       connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       size_t sent = 0;
-      while (!over_ && !readable(connection.fd(), 50)) {
+      while (!stopped_ && !readable(connection.fd(), 50)) {
         std::unique_lock lock(mutex_);
-        if (!chunk(sent < told_.size() ? told_[sent++] + "\n" : "\n")) return;
+        if (!chunk(sent < lists_.size() ? lists_[sent++] + "\n" : "\n")) return;
       }
       return;
     }
-    if (refuse_ > 0) {
-      --refuse_;
-      ++refused_;
+    if (notices_to_refuse_ > 0) {
+      --notices_to_refuse_;
+      ++refused_notices_;
       connection.send("HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
       continue;
     }
@@ -218,7 +218,7 @@
 
 void FakeDiscovery::publish(const nlohmann::json& list) {
   const std::lock_guard lock(mutex_);
-  told_.push_back(list.dump());
+  lists_.push_back(list.dump());
 }
 
 nlohmann::json FakeDiscovery::next_notice() {
@@ -323,7 +323,7 @@
   const std::string line = log_.read_line();
   ASSERT_TRUE(line.starts_with("listening on ")) << line;
   port_ = static_cast<uint16_t>(std::stoi(line.substr(line.rfind(':') + 1)));
-  drain_ = std::thread([this] {  // so that a full pipe never stops the program
+  log_reader_ = std::thread([this] {  // so that a full pipe never stops the program
     char bytes[4096];
     for (ssize_t got = 0; (got = ::read(log_.fd(), bytes, sizeof bytes)) > 0;) {
       if (::write(2, bytes, static_cast<size_t>(got)) < 0) return;
@@ -332,10 +332,10 @@
 }
 
 void RelayProcess::start_planted(const std::string& program, const std::string& fault) {
-  const std::string healthy = std::exchange(program_, program);
+  const std::string original = std::exchange(program_, program);
   fault_ = fault;
   start();
-  program_ = healthy;
+  program_ = original;
   fault_.clear();
 }
 
@@ -352,7 +352,7 @@
   int status = 0;
   ::waitpid(child_, &status, 0);
   child_ = -1;
-  drain_.join();
+  log_reader_.join();
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
@@ -362,9 +362,10 @@
   wait();
 }
 
-std::string put_command(const std::string& id, const std::string& facts, const std::string& body) {
+std::string put_command(const std::string& id, const std::string& attributes, const std::string& body) {
   std::string out = "*5\r\n";
-  for (const std::string& word : {std::string("MSG.PUT"), std::string("0000000000000000"), id, facts, body}) {
+  for (const std::string& word :
+       {std::string("MSG.PUT"), std::string("0000000000000000"), id, attributes, body}) {
     out += "$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
   }
   return out;
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -96,24 +96,24 @@
   FakeDiscovery();
   ~FakeDiscovery();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
-  void publish(const nlohmann::json& list);            // to the watches that are open and those to come
-  nlohmann::json next_notice();                        // the next one that was answered 204
-  void refuse_notices(int count) { refuse_ = count; }  // so many posts are answered 503 first
+  void publish(const nlohmann::json& list);  // to the watches that are open and those to come
+  nlohmann::json next_notice();              // the next one that was answered 204
+  void refuse_notices(int count) { notices_to_refuse_ = count; }  // so many posts are answered 503 first
   // Watches that come while it is mute never get an answer, as while discovery is down.
-  void set_silent(bool on = true) { mute_ = on; }
-  int refused_notices() const { return refused_; }
+  void set_silent(bool on = true) { silent_ = on; }
+  int refused_notices() const { return refused_notices_; }
 
  private:
   void serve(Socket connection);
 
   Socket listener_ = Socket::listen();
-  std::atomic<bool> over_ = false;
-  std::atomic<bool> mute_ = false;
-  std::atomic<int> refuse_ = 0;
-  std::atomic<int> refused_ = 0;
+  std::atomic<bool> stopped_ = false;
+  std::atomic<bool> silent_ = false;
+  std::atomic<int> notices_to_refuse_ = 0;
+  std::atomic<int> refused_notices_ = 0;
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::vector<std::string> told_;
+  std::vector<std::string> lists_;
   std::vector<nlohmann::json> notices_;
   std::vector<std::thread> threads_;
   std::thread acceptor_;
@@ -153,9 +153,10 @@
   pid_t child_ = -1;
   uint16_t port_ = 0;
   Socket log_;
-  std::thread drain_;
+  std::thread log_reader_;
 };
 
-std::string put_command(const std::string& id, const std::string& facts, const std::string& body = "body");
+std::string put_command(const std::string& id, const std::string& attributes,
+                        const std::string& body = "body");
 
 }  // namespace firspool::testing
