--- a/tests/durability_test.cpp
+++ b/tests/durability_test.cpp
@@ -1,4 +1,4 @@
-// Group durability in the relay as a whole, in this process, on a folder whose syncs wait for the test.
+// Group durability of a whole relay in this process, on a folder whose syncs are controlled by the test.
 #include <poll.h>
 
 #include <boost/asio/io_context.hpp>
@@ -15,7 +15,7 @@
 
 using umberhoist::state::Files;
 
-// The real folder; a sync waits for a permit, and takes the verdict that comes with it.
+// The real folder; while syncs are blocked, each waits for `allow_sync` and returns its argument.
 class GatedFiles : public Files {
  public:
   explicit GatedFiles(std::unique_ptr<Files> files) : files_(std::move(files)) {}
@@ -35,7 +35,7 @@
     blocked_ = false;
     changed_.notify_all();
   }
-  bool wait_for_syncs(int times) {  // since `hold`
+  bool wait_for_syncs(int times) {  // since `block_syncs`
     std::unique_lock lock(mutex_);
     return changed_.wait_for(lock, std::chrono::milliseconds(kDeadlineMs), [&] { return syncs_ >= times; });
   }
@@ -89,8 +89,8 @@
         std::move(files));
     loop_ = std::thread([this] { io_.run(); });
     port_ = listening.get_future().get();
-    // A call that stays open: its first byte shows that the sync of all that was written before it has ended,
-    // and nothing more is written. From here on each sync is the test's.
+    // A call that stays open: its first byte shows that everything written so far is synced, and nothing more
+    // is written. From here on the test controls each sync.
     Socket client = this->client();
     client.send(put_command("00000000000000a0", kAttributes));
     EXPECT_EQ(client.read_line(), "+OK");
@@ -108,7 +108,7 @@
   }
 
   Socket client() const { return Socket::connect(port_); }
-  // All that the relay had read before this has been decided on.
+  // After the reply, the relay has decided on everything that it had read before.
   std::string ping() const {
     Socket other = client();
     other.send("*1\r\n$4\r\nPING\r\n");
@@ -139,15 +139,16 @@
   Socket first = client();
   first.send(put_command("00000000000000a1", kAttributes));
   ASSERT_TRUE(files_->wait_for_syncs(1));
-  Socket call = host_.accept();  // connected, and no more
+  Socket call = host_.accept();  // connected, but nothing is sent yet
   Socket second = client();
   second.send(put_command("00000000000000a2", kAttributes));
-  EXPECT_EQ(ping(), "+PONG") << "the loop goes on";
+  EXPECT_EQ(ping(), "+PONG") << "the event loop must not block";
   EXPECT_TRUE(has_no_input(first));
   EXPECT_TRUE(has_no_input(call));
   files_->allow_sync(true);
   EXPECT_EQ(first.read_line(), "+OK");
-  // The second one, and the first one's attempt, came after that sync had begun: one more covers both.
+  // The second message, and the attempt of the first one, were written after that sync began: one more sync
+  // covers both.
   ASSERT_TRUE(files_->wait_for_syncs(2));
   EXPECT_EQ(ping(), "+PONG");
   EXPECT_TRUE(has_no_input(second));
@@ -165,7 +166,7 @@
   ASSERT_TRUE(files_->wait_for_syncs(1));
   Socket call = host_.accept();
   files_->allow_sync(false);
-  ASSERT_TRUE(files_->wait_for_syncs(2));  // tried again, with all of it written anew
+  ASSERT_TRUE(files_->wait_for_syncs(2));  // retried, after everything was written again
   EXPECT_EQ(ping(), "+PONG");
   EXPECT_TRUE(has_no_input(first));
   EXPECT_TRUE(has_no_input(call));
@@ -176,8 +177,8 @@
   EXPECT_EQ(request->headers.at("x-call-id"), "00000000000000a1");
 }
 
-// Its time ends while the record of its attempt is being synced: nothing goes out when that has come, and
-// what was never sent is given back although it may not be repeated.
+// The message's time ends while the record of its attempt is being synced: nothing is sent afterwards, and
+// the message is returned, although it is unsafe, because it was never sent.
 TEST_F(GroupDurability, ACallWhoseTimeEndsWhileItsRecordIsSyncedNeverRan) {
   Socket first = client();
   first.send(put_command("00000000000000a1", "c=unsafe,d=1500,dest=7"));
@@ -185,8 +186,8 @@
   Socket call = host_.accept();
   files_->allow_sync(true);
   EXPECT_EQ(first.read_line(), "+OK");
-  ASSERT_TRUE(files_->wait_for_syncs(2));  // of the attempt's record
-  EXPECT_TRUE(call.closed_by_peer()) << "something was written";
+  ASSERT_TRUE(files_->wait_for_syncs(2));  // for the record of the attempt
+  EXPECT_TRUE(call.closed_by_peer()) << "bytes were written";
   files_->unblock_syncs();
   EXPECT_EQ(discovery_.next_notice().at("state"), "returned");
 }
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -1,4 +1,4 @@
-// The relay's parts that need no socket: configuration, requests, the list and the journal.
+// Parts of the relay that need no socket: configuration, requests and the host list.
 #include <filesystem>
 #include <fstream>
 #include <nlohmann/json.hpp>
@@ -76,7 +76,7 @@
   EXPECT_FALSE(directory.is_active(old));
 }
 
-// An agent may be behind what another told: its list moves hosts on, and undoes nothing.
+// An agent may be behind another one: its list may advance the state of hosts but must not revert it.
 TEST(Directory, AnOlderListUndoesNothing) {
   const ListNames names{{"a"}, {"std"}};
   const auto member = [](const std::string& id, const std::string& phase) {
@@ -108,7 +108,7 @@
   EXPECT_EQ(directory.revision(), 10);
 }
 
-// Ids are ever new: what is gone must not stay.
+// Hosts get new ids all the time: removed ones must not be kept for ever.
 TEST(Directory, ForgetsWhatIsGone) {
   const ListNames names{{"a"}, {"std"}};
   Directory directory;
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -323,7 +323,7 @@
   const std::string line = log_.read_line();
   ASSERT_TRUE(line.starts_with("listening on ")) << line;
   port_ = static_cast<uint16_t>(std::stoi(line.substr(line.rfind(':') + 1)));
-  log_reader_ = std::thread([this] {  // so that a full pipe never stops the program
+  log_reader_ = std::thread([this] {  // so that a full pipe never blocks the daemon
     char bytes[4096];
     for (ssize_t got = 0; (got = ::read(log_.fd(), bytes, sizeof bytes)) > 0;) {
       if (::write(2, bytes, static_cast<size_t>(got)) < 0) return;
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -1,5 +1,5 @@
-// The relay's neighbours, played by a test over loopback sockets: a client, a host, discovery, and the
-// program itself as a child process. Each wait is for an event, with a deadline that only a failure reaches.
+// Test doubles of the relay's peers over loopback sockets: a client, a host, discovery, and the daemon itself
+// as a child process. Each wait is for an event, with a deadline that is reached only on failure.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -38,14 +38,14 @@
   int fd() const { return fd_; }
   uint16_t port() const;
   void close();
-  void reset();  // the peer sees a reset, not an end
+  void reset();  // the peer sees a reset instead of the end of the stream
 
   bool send(const std::string& bytes) const;
-  std::string read_line();                 // without its end; empty at the end of the stream
+  std::string read_line();                 // without the line break; empty at the end of the stream
   std::string read_exactly(size_t count);  // shorter at the end of the stream
-  bool closed_by_peer();                   // waits for the peer's close; false if bytes come, or nothing does
-  bool drained_until_closed();             // the same, and throws away what comes before it
-  void half_close() const;                 // nothing more is sent, and what comes is still read
+  bool closed_by_peer();  // waits until the peer closes; false if bytes arrive instead, or on the deadline
+  bool drained_until_closed();  // the same, discarding what arrives before
+  void half_close() const;      // closes the sending side only
 
  private:
   bool fill();
@@ -62,28 +62,28 @@
 
 std::optional<Request> read_request(Socket& socket);
 
-// Serves one connection at a time, in the test's own thread.
+// A host that serves one connection at a time, in the calling thread.
 class FakeHost {
  public:
   uint16_t port() const { return listener_.port(); }
   std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
-  Request next_request();       // the next call, on the connection that is open or on a new one
-  void limit_receive_buffer();  // connections to come take a few kilobytes at a time: a large call is not
-                                // written at once
-  void read_head();  // reads the next call's head on a new connection, and nothing that is not needed for it
+  Request next_request();  // the next request, on the open connection or on a new one
+  // Limits the receive buffer of later connections to a few kilobytes, so that a large request is not written
+  // at once.
+  void limit_receive_buffer();
+  // Accepts a connection and reads the header of its first request, but not the body.
+  void read_head();
   void respond(const std::string& status, const std::string& headers = "");
   void send_raw(const std::string& bytes) { ASSERT_TRUE(connection_.send(bytes)); }
-  bool closed_by_peer() {
-    return connection_.closed_by_peer();
-  }  // waits until the caller has closed, with nothing more sent
-  bool drained_until_closed() {
-    return connection_.drained_until_closed();
-  }  // the same, whatever it had sent
+  // Waits until the caller has closed without sending more.
+  bool closed_by_peer() { return connection_.closed_by_peer(); }
+  // The same, discarding what it has sent.
+  bool drained_until_closed() { return connection_.drained_until_closed(); }
   void half_close() { connection_.half_close(); }
   void close() { connection_.close(); }
   void reset() { connection_.reset(); }
   int connections() const { return connections_; }
-  bool has_pending_input() const;  // another connection waits to be accepted, or bytes to be read
+  bool has_pending_input() const;  // a connection waits to be accepted, or bytes to be read
 
  private:
   Socket listener_ = Socket::listen();
@@ -96,10 +96,10 @@
   FakeDiscovery();
   ~FakeDiscovery();
   std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
-  void publish(const nlohmann::json& list);  // to the watches that are open and those to come
-  nlohmann::json next_notice();              // the next one that was answered 204
-  void refuse_notices(int count) { notices_to_refuse_ = count; }  // so many posts are answered 503 first
-  // Watches that come while it is mute never get an answer, as while discovery is down.
+  void publish(const nlohmann::json& list);  // to open and future watches
+  nlohmann::json next_notice();              // the next one that was acknowledged with 204
+  void refuse_notices(int count) { notices_to_refuse_ = count; }  // the next `count` posts get 503
+  // Watches opened while it is silent never get a reply, as if discovery were down.
   void set_silent(bool on = true) { silent_ = on; }
   int refused_notices() const { return refused_notices_; }
 
@@ -123,7 +123,7 @@
                            const std::string& phase = "active");
 nlohmann::json list_json(int revision, bool complete, std::vector<nlohmann::json> members);
 
-// Class names: safe, keyed, unsafe.
+// A configuration with the classes safe, keyed and unsafe.
 nlohmann::json config_json(const std::string& discovery, std::vector<nlohmann::json> known);
 
 class RelayProcess {
@@ -132,15 +132,16 @@
   ~RelayProcess();
 
   void start(int descriptors = 0);
-  // The same with a program that a test built for it, which plays the fault of that name.
+  // The same with another executable, in which the planted fault of that name is active.
   void start_planted(const std::string& program, const std::string& fault);
-  std::string startup_error(int descriptors);  // the line with which it refuses to start
-  void write_config(const std::string& text);  // replaces the file; it is read at a start or on SIGHUP
+  std::string startup_error(int descriptors);  // the line that it logs when it refuses to start
+  void write_config(
+      const std::string& text);  // replaces the configuration file, which is read at start and on SIGHUP
   void signal(int number);
-  int wait();  // exit status; minus the signal that ended it
+  int wait();  // exit status, or the negated number of the signal that ended it
   void kill();
   pid_t pid() const { return child_; }
-  int64_t cpu_time_us() const;  // used by it so far, in microseconds
+  int64_t cpu_time_us() const;  // used so far; -1 on failure
   std::filesystem::path state_folder() const { return folder_ / "state"; }
   Socket client() const { return Socket::connect(port_); }
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,5 @@
-// The program as a whole, over loopback sockets: what it accepts, what outlasts it, and how it ends.
+// The daemon as a whole, over loopback sockets: what it accepts, what survives a restart, and how it shuts
+// down.
 #include <sys/resource.h>
 
 #include <csignal>
@@ -21,7 +22,7 @@
 struct RelaySetup {
   FakeHost host;
   FakeDiscovery discovery;
-  // Destinations 8 and 99 have had a host, which wants nothing new.
+  // Destinations 8 and 99 have one host each, which is draining.
   nlohmann::json config =
       config_json(discovery.address(),
                   {member_json("s-1", host.address(), 7), member_json("s-0", host.address(), 99, "leaving"),
@@ -55,7 +56,8 @@
   EXPECT_EQ(call.headers.at("x-budget").back(), 'm');
   EXPECT_EQ(call.body, body);
   s.host.respond("200");
-  // The second answer comes after the first message's end was recorded: its call uses the same connection.
+  // The second reply comes after the end of the first message was recorded, since its call uses the same
+  // connection.
   EXPECT_EQ(s.put("00000000000000b2", kAttributes), "+OK");
   EXPECT_EQ(id_of(s.host.next_request()), "00000000000000b2");
   EXPECT_EQ(s.host.connections(), 1);
@@ -99,7 +101,7 @@
   RelayProcess small(s.config);
   small.start();
   Socket client = small.client();
-  for (int i = 0; i < 4; ++i) {  // all out at once: none can be given back
+  for (int i = 0; i < 4; ++i) {  // all in flight at once: none can be returned
     client.send(put_command("m" + std::to_string(i), kAttributes));
     EXPECT_EQ(client.read_line(), "+OK");
   }
@@ -117,7 +119,7 @@
     client.send(put_command("m" + std::to_string(i), kAttributes));
     EXPECT_EQ(client.read_line(), "+OK");
   }
-  for (int i = 0; i < 200; ++i) {  // a new id each time, on the connection that it keeps
+  for (int i = 0; i < 200; ++i) {  // a new id each time, on the same connection
     client.send(put_command("again" + std::to_string(i), kAttributes));
     const std::string answer = client.read_line();
     ASSERT_TRUE(answer.starts_with("-BUSY ")) << answer;
@@ -125,7 +127,7 @@
   }
 }
 
-// A call that was out when the process died may have run.
+// A call that was in flight when the process died may have been executed.
 TEST(Program, ResendsSafeAndKeyedMessagesThatWereOutAtAKill) {
   for (const std::string effect : {"safe", "keyed"}) {
     RelaySetup s;
@@ -152,14 +154,14 @@
   EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
 }
 
-// Refused at once it never ran, and the record of that outlasts the process.
+// A refused call was not executed, and the record of that survives the process.
 TEST(Program, ResendsAnUnsafeMessageThatWasTurnedAwayBeforeAKill) {
   RelaySetup s;
   s.program.start();
   EXPECT_EQ(s.put("00000000000000a1", attributes_of("unsafe")), "+OK");
   s.host.next_request();
   s.host.respond("429", "Retry-After: 30.0\r\n");
-  // That the answer was read shows in what follows it: a message elsewhere goes out on a later turn.
+  // A call to another host in a later turn shows that the reply was read.
   FakeHost other;
   s.discovery.publish(list_json(2, false, {member_json("s-2", other.address(), 8)}));
   EXPECT_EQ(s.put("00000000000000a2", attributes_of("safe", 8)), "+OK");
@@ -176,7 +178,7 @@
   return newest;
 }
 
-// One flipped byte in the first record used to lose all that follows it.
+// One flipped byte in the first record used to lose all records after it.
 TEST(Program, AFlippedByteInTheJournalsFirstRecordCostsOneMessage) {
   RelaySetup s;
   s.program.start();
@@ -274,7 +276,7 @@
   const nlohmann::json notice = s.discovery.next_notice();
   EXPECT_EQ(notice.at("id"), "00000000000000a1");
   EXPECT_EQ(notice.at("state"), "returned");
-  EXPECT_GT(notice.at("after_ms"), 0);  // the client is told when to come again
+  EXPECT_GT(notice.at("after_ms"), 0);  // the client learns when to submit it again
 }
 
 TEST(Program, FollowsTheWatch) {
@@ -289,10 +291,10 @@
   replacement.respond("200");
   s.discovery.publish(list_json(3, false, {member_json("s-3", replacement.address(), 7)}));
   EXPECT_EQ(s.put("00000000000000a2", attributes_of("keyed", 7)), "+OK");
-  EXPECT_EQ(id_of(replacement.next_request()), "00000000000000a2");  // and not to the one that leaves
+  EXPECT_EQ(id_of(replacement.next_request()), "00000000000000a2");  // and not to the draining host
 }
 
-// It serves on the list that it has, and hears of changes once its turn to ask has come.
+// The relay serves with the list that it has, and receives changes once its paced request is due.
 TEST(Program, AsksInItsTurnWhereAsksCostDiscoveryWork) {
   RelaySetup s;
   FakeHost replacement;
@@ -308,7 +310,7 @@
   EXPECT_EQ(id_of(replacement.next_request()), "00000000000000a2");
 }
 
-// The configuration's list may be older than what the process before was told, and discovery down.
+// The host list of the configuration may be older than the one of the last run, while discovery is down.
 TEST(Program, RemembersTheListAcrossARestart) {
   RelaySetup s;
   FakeHost other;
@@ -317,7 +319,7 @@
       list_json(2, false,
                 {member_json("s-1", s.host.address(), 7, "leaving"), member_json("s-2", other.address(), 7),
                  member_json("s-3", other.address(), 8)}));
-  EXPECT_EQ(s.put("00000000000000a1", attributes_of("keyed", 8)), "+OK");  // that it was heard
+  EXPECT_EQ(s.put("00000000000000a1", attributes_of("keyed", 8)), "+OK");  // shows that the list has arrived
   EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");
   s.program.kill();
   s.discovery.set_silent();
@@ -352,11 +354,11 @@
   EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
 }
 
-// The pace that refusals taught is in the folder: what was held for it does not go at once after a restart,
-// but at the even part of the told limit. Bounded from below alone, by the time since before the restart: a
-// machine that is busy makes it longer and never shorter.
+// The pacing rate learned from refusals is stored in the folder: after a restart, messages held back by it
+// are not sent at once but at this relay's share of the reported limit. Only a lower bound on the time since
+// before the restart is checked: a busy machine makes it longer and never shorter.
 TEST(Program, ARestartDoesNotSendAllThatItsPaceHeldBack) {
-  constexpr double kLimit = 4;  // calls a second, all of them this relay's
+  constexpr double kLimit = 4;  // calls per second, all of them for this relay
   RelaySetup s;
   s.config["known"]["members"][0]["size"] = kLimit;
   s.program.write_config(s.config.dump());
@@ -375,11 +377,11 @@
     EXPECT_TRUE(id_of(s.host.next_request()).starts_with("00000000000000a"));
     s.host.respond("200");
   }
-  // It starts with half a token at most, and the pace never rises above the limit.
+  // It starts with half a token at most, and the pacing rate never exceeds the limit.
   EXPECT_GE(static_cast<double>(relay::steady_now() - from), (kCalls - 0.5) / kLimit * 1e6);
 }
 
-// A wait that outlasts every message binds those that come later too.
+// A Retry-After longer than the lifetime of any message applies to later messages too.
 TEST(Program, SendsNothingIntoAWaitThatIsLongerThanMessagesLive) {
   RelaySetup s;
   for (auto& category : s.config["settings"]["categories"]) category["give_up_s"] = 0.3;
@@ -392,14 +394,15 @@
   for (int i = 1; relay::steady_now() - from < 1'200'000; ++i) {
     const std::string id = "00000000000000b" + std::to_string(i);
     ASSERT_EQ(s.put(id, attributes_of("safe", 7, 300)), "+OK");
-    while (s.discovery.next_notice().at("id") != id) continue;  // given back untried, when its time is up
+    // Returned without an attempt when its time is over.
+    while (s.discovery.next_notice().at("id") != id) continue;
     ASSERT_FALSE(s.host.has_pending_input())
-        << "a call " << relay::steady_now() - from << " us into a wait of 2 s";
+        << "a call " << relay::steady_now() - from << " us into a Retry-After of 2 s";
   }
 }
 
-// A class that the new settings no longer have: nothing is known of what it allows. What was never tried
-// cannot have run.
+// The new settings no longer have the class of a message, so its effect is unknown. A message without an
+// attempt cannot have been executed and is returned; the other fails.
 TEST(Program, GivesBackWhatItsNewSettingsHaveNoClassFor) {
   RelaySetup s;
   s.program.start();
@@ -419,8 +422,8 @@
                                                         {"00000000000000a2", "failed"}}));
 }
 
-// Puts a message into the folder of a relay that is down, as one that it had taken on: its end and its
-// attempts, of which each may have run, in microseconds from now.
+// Writes an accepted message into the folder of a stopped relay: its due time and attempts, each possibly
+// executed, in microseconds from now.
 void write_journal(const std::filesystem::path& state, const std::string& id, Time due,
                    std::vector<Time> attempts) {
   const auto files = umberhoist::state::make_posix_files(state);
@@ -438,9 +441,9 @@
   }
 }
 
-// A folder that is at least half full, with as many messages as may be held, and discovery down: a relay that
-// is one of a fleet gets a part of a core at its start, so what counts is the processor's time. A tenth of a
-// core has to do for the 10 s that it may take.
+// A folder that is at least half full, with as many messages as may be open, and discovery down. A relay in a
+// fleet gets only a part of a core at its start, so the CPU time counts: the start may take 10 s on a tenth
+// of a core.
 TEST(Program, IsReadyInTimeWithAFullJournalAndDiscoveryDown) {
   constexpr int kOpenMessages = 400;
   RelaySetup s;
@@ -460,7 +463,7 @@
       message.id = "held-" + std::to_string(i);
       ASSERT_TRUE(journal.record_accepted(message, due));
     }
-    // What is left of the room is filled with records of messages that are over.
+    // The rest of the space is filled with records of ended messages.
     message.body.assign(200, 'x');
     for (int i = 0; i < 20'000; ++i) {
       message.id = "over-" + std::to_string(i);
@@ -482,7 +485,8 @@
   EXPECT_TRUE(id_of(s.host.next_request()).starts_with("held-"));
 }
 
-// The window runs from the first attempt that may have run, also where a later one is young.
+// The idempotency window starts with the first attempt that may have been executed, even if a later one is
+// recent.
 TEST(Program, RepeatsAfterARestartWhatIsWithinItsWindowAndNothingElse) {
   RelaySetup s;
   for (auto& category : s.config["settings"]["categories"]) category["key_ttl_s"] = 5.0;
@@ -502,8 +506,8 @@
   EXPECT_EQ(failed, (std::set<std::string>{"00000000000000b2", "00000000000000b3"}));
 }
 
-// The wall clock was stepped back while the process was down. How long ago the attempt was made is not known,
-// so no window counts on it, and no message lives longer than its class allows.
+// The wall clock was stepped back while the process was down. The age of the attempt is unknown, so it counts
+// as outside any window, and no message may live longer than its class allows.
 TEST(Program, AClockThatWasSteppedBackLengthensNoWindow) {
   RelaySetup s;
   s.program.start();
@@ -514,7 +518,7 @@
   write_journal(s.program.state_folder(), "00000000000000a2", 3600'000'000, {3590'000'000});
   s.program.start();
   EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
-  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1") << "whose attempt is within its window";
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a1") << "its attempt is within its window";
 }
 
 // ---- A new configuration ----
@@ -527,7 +531,7 @@
   s.config["discovery"] = next.address();
   s.program.write_config(s.config.dump());
   s.program.signal(SIGHUP);
-  // Whatever revision the new agent has.
+  // The revision of the new agent does not matter.
   next.publish(list_json(0, false, {member_json("s-2", other.address(), 99)}));
   EXPECT_EQ(s.put("00000000000000a1", attributes_of("keyed", 99)), "+OK");
   EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");
@@ -537,8 +541,8 @@
   EXPECT_EQ(next.next_notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
 }
 
-// One relay's part of a rolling restart: discovery moves, its host is replaced, it is killed with a call out,
-// and the next time told to end with one.
+// One relay's part of a rolling restart: discovery moves, its host is replaced, it is killed with a call in
+// flight, and the next time it gets SIGTERM with one in flight.
 TEST(Program, ARollingRestartWithDiscoveryMovedAndAHostReplacedLosesNothing) {
   RelaySetup s;
   FakeDiscovery next;
@@ -553,18 +557,19 @@
                          {member_json("s-1", s.host.address(), 7, "leaving"),
                           member_json("s-2", other.address(), 7), member_json("s-3", other.address(), 99)}));
   EXPECT_EQ(s.put("00000000000000a2", attributes_of("unsafe", 99)), "+OK");
-  EXPECT_EQ(id_of(other.next_request()), "00000000000000a2");  // the new one was heard
+  EXPECT_EQ(id_of(other.next_request()),
+            "00000000000000a2");  // shows that the list of the new agent has arrived
   other.reset();
   EXPECT_EQ(next.next_notice(), nlohmann::json({{"id", "00000000000000a2"}, {"state", "failed"}}));
   s.program.kill();
   s.program.start();
-  EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");  // not to the one that leaves
+  EXPECT_EQ(id_of(other.next_request()), "00000000000000a1");  // not to the draining host
   other.respond("200");
   EXPECT_EQ(s.put("00000000000000a3", attributes_of("unsafe")), "+OK");
   EXPECT_EQ(id_of(other.next_request()), "00000000000000a3");
   s.program.signal(SIGTERM);
   EXPECT_EQ(s.put("00000000000000a4", attributes_of("keyed", 8)),
-            "+OK");  // it serves on, for a host that wants nothing
+            "+OK");  // still accepted, for a destination whose host is draining
   other.respond("200");
   EXPECT_EQ(s.program.wait(), 0);
   other.close();
@@ -575,7 +580,7 @@
   other.respond("200");
 }
 
-// A notice that the old address did not answer goes to the new one.
+// A notice that the old address did not acknowledge is sent to the new one.
 TEST(Program, SendsUnansweredNoticesToTheNewAddress) {
   RelaySetup s;
   FakeDiscovery next;
@@ -620,7 +625,7 @@
   EXPECT_TRUE(client.closed_by_peer());
 }
 
-// Bytes that dribble in do not put the limit off.
+// Bytes that arrive one at a time do not extend the time limit.
 TEST(Program, EndsACommandThatIsNeverFinished) {
   RelaySetup s;
   s.program.start();
@@ -641,7 +646,7 @@
   dribble.join();
 }
 
-// A close with bytes unread is a reset, and the error would be lost with it.
+// Closing with unread input sends a reset, which would lose the error reply.
 TEST(Program, AnErrorReachesAClientThatGoesOnSending) {
   RelaySetup s;
   s.program.start();
@@ -653,7 +658,7 @@
   EXPECT_TRUE(client.closed_by_peer());
 }
 
-// Clients keep their connections: those that ask no more must not shut out others.
+// Clients keep connections open: idle ones must not lock out others.
 TEST(Program, MakesRoomForAnotherClient) {
   RelaySetup s;
   s.config["limits"]["sockets"] = 64;
@@ -667,8 +672,8 @@
   }
 }
 
-// Clients that may hold so many connections and no more wait for one to be closed before they can hand the
-// next message in: where they open one for each message, those that are done must go before the limit is
+// Clients with a limited number of connections wait for one to be closed before they can submit the next
+// message. Where they open one for each message, finished connections must be closed before the limit is
 // reached.
 TEST(Program, ACrowdThatAsksOnceAndKeepsItsConnectionsIsLetGo) {
   RelaySetup s;
@@ -697,12 +702,12 @@
     client.send(put_command("00000000000000a1", attributes) + kPing);
     EXPECT_TRUE(client.read_line().starts_with("-ERR")) << attributes;
     EXPECT_EQ(client.read_line(), "+PONG")
-        << attributes;  // nothing that the client sent made a line of its own
+        << attributes;  // input of the client must not forge a line of the reply
   }
 }
 
-// Settings that name tenants are for messages that do: what a title hands in beyond its quota goes first,
-// also where another title's messages are older.
+// With tenants configured, messages have to name one. What a tenant submits beyond its quota is returned
+// first, even if messages of another tenant are older.
 TEST(Program, GivesBackWhatATenantSentBeyondItsQuota) {
   RelaySetup s;
   s.config["settings"]["realms"] = {{{"name", "steady"}, {"quota_per_s", 1000.0}},
@@ -717,7 +722,7 @@
     client.send(put_command("00000000000000f1", attributes + kAttributes));
     EXPECT_EQ(client.read_line(), "-ERR unknown tenant") << attributes;
   }
-  // One of them is out, and over 9 are one too many.
+  // One of the messages is in flight, and more than 9 are over the limit.
   for (int i = 0; i < 5; ++i) {
     client.send(put_command("steady" + std::to_string(i), std::string("t=steady,") + kAttributes));
     EXPECT_EQ(client.read_line(), "+OK");
@@ -733,8 +738,8 @@
   EXPECT_EQ(notice.at("state"), "returned");
 }
 
-// A folder that takes no byte more while it serves, as a full or broken disk does not: nothing is taken on,
-// what was is delivered, and it takes up again by itself.
+// The folder cannot be written for a while, as on a full or broken disk: no message is accepted, accepted
+// ones are delivered, and the relay recovers by itself.
 TEST(Program, AFolderThatCannotBeWrittenTurnsAwayAndTakesUpAgain) {
   RelaySetup s;
   s.program.start();
@@ -748,17 +753,18 @@
   for (int i = 0; i < 3; ++i) {
     const std::string line = s.put("00000000000000b" + std::to_string(i), kAttributes);
     ASSERT_TRUE(line.starts_with("-BUSY ")) << line;
-    EXPECT_GE(std::stoi(line.substr(6)), 100) << "it says when to come again";
+    EXPECT_GE(std::stoi(line.substr(6)), 100) << "the reply says when to retry";
   }
-  s.host.respond("200");  // its end cannot be recorded yet
+  s.host.respond("200");  // the end of the message cannot be recorded yet
   ASSERT_EQ(::prlimit(s.program.pid(), RLIMIT_FSIZE, &limit, nullptr), 0);
   EXPECT_EQ(s.put("00000000000000c1", kAttributes), "+OK");
   EXPECT_EQ(id_of(s.host.next_request()), "00000000000000c1");
   s.kill_and_restart();
-  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000c1") << "the first one's end was recorded after all";
+  EXPECT_EQ(id_of(s.host.next_request()), "00000000000000c1")
+      << "the end of the first message was recorded after all";
 }
 
-// Handed in twice before it is decided on: both get the one answer.
+// Submitted twice before the decision: both submissions get the same reply.
 TEST(Program, AnswersARepeatedIdAsTheFirst) {
   RelaySetup s;
   s.config["limits"]["disk_mb"] = 0.02;
@@ -772,7 +778,8 @@
   for (Socket& client : clients) EXPECT_TRUE(client.read_line().starts_with("-BUSY"));
 }
 
-// A message's time runs from its last byte, also while it waits to be read: a notice for it would come late.
+// A message's lifetime starts when its last byte arrives, also while it waits to be read; otherwise its
+// notice would be late.
 TEST(Program, CountsTheTimeThatARequestWaited) {
   RelaySetup s;
   s.program.start();
@@ -806,7 +813,7 @@
     EXPECT_EQ(id, "0000000000000a1" + std::to_string(i));
     s.host.send_raw("HTTP/1.1 5");
     s.host.close();
-    if (i % 2 != 0) {  // it may have run
+    if (i % 2 != 0) {  // it may have been executed
       EXPECT_EQ(s.discovery.next_notice(), nlohmann::json({{"id", id}, {"state", "failed"}}));
       continue;
     }
@@ -815,8 +822,8 @@
   }
 }
 
-// In a crowd requests wait to be accepted, some for longer than their clients do: to take those on would cost
-// the calls that others wait for.
+// Under load, requests may wait to be accepted for longer than their clients wait for a reply: accepting
+// those would use up calls that other messages need.
 TEST(Program, DropsARequestThatItsClientGaveUp) {
   RelaySetup s;
   s.program.start();
@@ -831,9 +838,9 @@
   EXPECT_EQ(id_of(s.host.next_request()), "00000000000000a2");
 }
 
-// Idle clients fill all that they may hold while discovery is down, at the configured limit and at the
-// process's own, which is lower: a client with a request is served, its call and its notice go out, and
-// discovery's return is heard.
+// Idle clients use all descriptors that they may hold while discovery is down, with the configured limit and
+// with a lower limit of the process: a client with a request is still served, its call and notice are sent,
+// and the list of the returning discovery arrives.
 TEST(Program, IdleClientsThatFillTheDescriptorsHoldUpNothingElse) {
   for (const int process_limit : {0, 48}) {
     RelaySetup s;
@@ -871,7 +878,7 @@
             "umberhoist: the process may hold 20 descriptors; expected 32 or more");
 }
 
-// Out of descriptors an accept fails again at once: the relay waits a little and serves on.
+// Without free descriptors accept fails at once each time: the relay waits a little and continues.
 TEST(Program, SurvivesRunningOutOfDescriptors) {
   RelaySetup s;
   s.program.start(40);
