--- a/relay/fleet_side.cpp
+++ b/relay/fleet_side.cpp
@@ -26,7 +26,7 @@
 FleetAdapter::FleetAdapter(boost::asio::io_context& io, std::unique_ptr<umberhoist::fleet::Fleet> fleet,
                            const Settings& settings, uint64_t seed, Hooks hooks)
     : settings_(settings), seed_(seed), fleet_(std::move(fleet)), hooks_(std::move(hooks)), timer_(io) {
-  tick();
+  schedule_tick();
 }
 
 void FleetAdapter::add_recovered(const Arrival& arrival) { recovered_[arrival.id] = arrival; }
@@ -71,7 +71,7 @@
   }
 }
 
-void FleetAdapter::tick() {
+void FleetAdapter::schedule_tick() {
   timer_.expires_after(kTickInterval);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
@@ -80,7 +80,7 @@
     report_health(now);
     notify_module();
     release_messages(now);
-    tick();
+    schedule_tick();
   });
 }
 
--- a/relay/fleet_side.h
+++ b/relay/fleet_side.h
@@ -41,7 +41,7 @@
   void announce_shutdown() { fleet_->announce_leaving(); }
 
  private:
-  void tick();
+  void schedule_tick();
   void apply_current_version();
   void notify_module();
   void report_health(Time now);
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -18,20 +18,21 @@
 
 const std::string kAcceptedReply = "+OK";
 
-constexpr Time kMs = 1000;
-constexpr Time kShutdownGracePeriod = 500 * kMs;  // after SIGTERM new connections may still arrive
-constexpr Time kShutdownTimeout = 3500 * kMs;     // the earliest SIGKILL is 3.7 s after SIGTERM
-constexpr Time kShutdownPollInterval = 50 * kMs;
-constexpr Time kDiskRetryDelay = 20 * kMs;  // after a failed write or sync
-constexpr Time kMinBusyDelay = 100 * kMs;   // sent with -BUSY where there is no capacity
-constexpr Time kMaxBusyDelay = 2000 * kMs;
+constexpr Time kMillisecond = 1000;
+constexpr Time kShutdownGracePeriod = 500 * kMillisecond;  // after SIGTERM new connections may still arrive
+constexpr Time kShutdownTimeout = 3500 * kMillisecond;     // the earliest SIGKILL is 3.7 s after SIGTERM
+constexpr Time kShutdownPollInterval = 50 * kMillisecond;
+constexpr Time kDiskRetryDelay = 20 * kMillisecond;  // after a failed write or sync
+constexpr Time kMinBusyDelay = 100 * kMillisecond;   // sent with -BUSY where there is no capacity
+constexpr Time kMaxBusyDelay = 2000 * kMillisecond;
 // Age of first_due_ at which it is computed again, so that a flood of refused submissions does not search all
 // open messages each time.
-constexpr Time kFirstDueMaxAge = 100 * kMs;
-constexpr size_t kCompactBytesPerStep = 32 * 1024;  // limit of compaction in one step
-constexpr Time kInitialListTimeout = 300 * kMs;     // discovery replies at once unless it is down
-constexpr Time kLifetimeTolerance = 100 * kMs;      // clients round the lifetimes they send
-constexpr Time kTransitTime = 2 * kMs;  // from the client: a message's lifetime starts when it is sent
+constexpr Time kFirstDueMaxAge = 100 * kMillisecond;
+constexpr size_t kCompactBytesPerStep = 32 * 1024;        // limit of compaction in one step
+constexpr Time kInitialListTimeout = 300 * kMillisecond;  // discovery replies at once unless it is down
+constexpr Time kLifetimeTolerance = 100 * kMillisecond;   // clients round the lifetimes they send
+constexpr Time kTransitTime =
+    2 * kMillisecond;  // from the client: a message's lifetime starts when it is sent
 
 // The descriptors of the process are shared by the process itself, clients, and calls with their idle
 // connections. Calls get what they need. Clients get half, because they need a third for requests. Idle
@@ -85,7 +86,7 @@
           io, upstream_limits(config), config.report_fields,
           [this](const Call& call) { return may_start(call); },
           [this](const Endpoint& endpoint) { return may_probe(endpoint); },
-          [this](const AttemptEnded& end, bool began) { on_attempt_ended(end, began); },
+          [this](const AttemptEnded& end, bool started) { on_attempt_ended(end, started); },
           [this](const ProbeEnded& end) {
             post_event(end);
             on_call_returned(end.endpoint);
@@ -207,32 +208,32 @@
     message.accepted = true;
     message.submission = std::move(recovered.message);
     numbers_by_id_[message.submission.id] = number;
-    Arrival in;
-    in.id = number;
-    in.message_class = class_of(message.submission.message_class);
+    Arrival arrival;
+    arrival.id = number;
+    arrival.message_class = class_of(message.submission.message_class);
     // The settings no longer have its class, so its effect and windows are unknown.
-    if (in.message_class < 0) {
+    if (arrival.message_class < 0) {
       end_message(number, Notice{message.submission.id, recovered.maybe_executed.empty(), 0});
       return;
     }
     // If the wall clock was stepped back meanwhile, the remaining lifetime is limited to what the class
     // allows.
-    const Time max_lifetime = config_.settings.classes[static_cast<size_t>(in.message_class)].give_up;
+    const Time max_lifetime = config_.settings.classes[static_cast<size_t>(arrival.message_class)].give_up;
     message.due = now + std::min(recovered.due - wall, max_lifetime);
-    in.due = message.due;
-    in.tenant = tenant_of(message.submission.tenant);
-    in.destination = message.submission.destination;
-    in.attempts = recovered.attempts;
+    arrival.due = message.due;
+    arrival.tenant = tenant_of(message.submission.tenant);
+    arrival.destination = message.submission.destination;
+    arrival.attempts = recovered.attempts;
     if (!recovered.maybe_executed.empty()) {
       const auto& [sent, zone] = recovered.maybe_executed.begin()->second;
-      in.maybe_executed = true;
-      in.maybe_executed_sent = now + (sent - wall);
+      arrival.maybe_executed = true;
+      arrival.maybe_executed_sent = now + (sent - wall);
       // Likewise, the age of an attempt dated in the future is unknown, so no idempotency window may count on
       // it.
-      if (sent > wall) in.maybe_executed_sent = std::numeric_limits<Time>::min() / 2;
-      in.maybe_executed_zone = zone;
+      if (sent > wall) arrival.maybe_executed_sent = std::numeric_limits<Time>::min() / 2;
+      arrival.maybe_executed_zone = zone;
     }
-    fleet_ ? fleet_->add_recovered(in) : post_event(in);
+    fleet_ ? fleet_->add_recovered(arrival) : post_event(arrival);
   });
   if (fleet_) fleet_->start_recovery(now);
 }
@@ -247,7 +248,8 @@
     first_due_updated_at_ = now;
   }
   return "-BUSY " +
-         std::to_string((capacity_forecast_.time_until_available(now, bytes, first_due_) + kMs - 1) / kMs);
+         std::to_string((capacity_forecast_.time_until_available(now, bytes, first_due_) + kMillisecond - 1) /
+                        kMillisecond);
 }
 
 void Relay::submit(Submission submission, ClientServer::ReplyCallback reply) {
@@ -269,16 +271,16 @@
   if (open_messages_.size() >= static_cast<size_t>(config_.settings.max_open))
     return reply(busy_reply(submission.body.size()));
   const uint64_t number = ++last_number_;
-  Arrival in;
-  in.id = number;
-  in.message_class = message_class;
-  in.due = steady_now() + submission.lifetime - std::min(kTransitTime, submission.lifetime);
-  in.destination = submission.destination;
-  in.tenant = tenant_of(submission.tenant);
+  Arrival arrival;
+  arrival.id = number;
+  arrival.message_class = message_class;
+  arrival.due = steady_now() + submission.lifetime - std::min(kTransitTime, submission.lifetime);
+  arrival.destination = submission.destination;
+  arrival.tenant = tenant_of(submission.tenant);
   numbers_by_id_[submission.id] = number;
-  open_messages_[number] = {std::move(submission), in.due, 0, false};
+  open_messages_[number] = {std::move(submission), arrival.due, 0, false};
   pending_submissions_.push_back({number, std::move(reply)});
-  post_event(in);
+  post_event(arrival);
 }
 
 void Relay::on_host_list(const HostList& list) {
@@ -317,9 +319,9 @@
 }
 
 void Relay::on_call_returned(const Endpoint& endpoint) {
-  const auto out = in_flight_.find(endpoint);
-  if (out == in_flight_.end() || --out->second > 0) return;
-  in_flight_.erase(out);
+  const auto calls = in_flight_.find(endpoint);
+  if (calls == in_flight_.end() || --calls->second > 0) return;
+  in_flight_.erase(calls);
   release_removed_host(endpoint);
 }
 
@@ -394,7 +396,7 @@
   return wait == route_retry_at_.end() || wait->second <= steady_now();
 }
 
-void Relay::on_attempt_ended(const AttemptEnded& end, bool began) {
+void Relay::on_attempt_ended(const AttemptEnded& end, bool started) {
   const bool not_executed = end.outcome == Outcome::kRefused || end.outcome == Outcome::kConnectFailed ||
                             end.outcome == Outcome::kNotStarted;
   const auto message = open_messages_.find(end.id);
@@ -408,7 +410,7 @@
   if (message != open_messages_.end()) {
     if (end.final) {
       end_message(end.id, {});
-    } else if (not_executed && (began || message->second.recorded_attempt == end.attempt)) {
+    } else if (not_executed && (started || message->second.recorded_attempt == end.attempt)) {
       journal_.record_not_executed(message->second.submission.id, end.attempt);
     }
   }
@@ -443,7 +445,7 @@
   if (!pending_submissions_.empty()) {
     for (const Action& action : actions) {
       if (const auto* refuse = std::get_if<Refuse>(&action)) {
-        const Time ms = (refuse->retry_after + kMs - 1) / kMs;
+        const Time ms = (refuse->retry_after + kMillisecond - 1) / kMillisecond;
         rejections[refuse->id] = ms > 0 ? "-BUSY " + std::to_string(ms) : "-BUSY";
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         rejections[fail->id] = "-ERR failed";
--- a/relay/relay.h
+++ b/relay/relay.h
@@ -78,7 +78,7 @@
   void on_host_list(const HostList& list);
   Upstream::StartDecision may_start(const Call& call);
   bool may_probe(const Endpoint& endpoint);
-  void on_attempt_ended(const AttemptEnded& end, bool began);
+  void on_attempt_ended(const AttemptEnded& end, bool started);
   void on_call_returned(const Endpoint& endpoint);
   void post_event(Event event);
   void step();
