--- a/state/journal.cpp
+++ b/state/journal.cpp
@@ -800,14 +800,14 @@
 
 // ---- Records ----
 
-bool Journal::record_accepted(const Submission& m, Micros due) {
+bool Journal::record_accepted(const Submission& message, Micros due) {
   if (!unwritten_done_.empty() && !write_backlog()) return false;
-  if (sequence_by_id_.contains(m.id)) return false;
-  AcceptedMessage out;
-  out.sequence = last_sequence_ + 1;
-  out.due = due;
-  out.message = m;
-  const std::string payload = encode(out);
+  if (sequence_by_id_.contains(message.id)) return false;
+  AcceptedMessage record;
+  record.sequence = last_sequence_ + 1;
+  record.due = due;
+  record.message = message;
+  const std::string payload = encode(record);
   if (payload.size() > kMaxPayloadBytes || !has_room_for(kFrameHeaderBytes + payload.size())) return false;
   IndexedMessage entry;
   size_t offset = 0;
@@ -816,14 +816,14 @@
   if (!append(RecordKind::kAccepted, payload, &segment, &offset)) {
     // The write could not be undone: a complete record may be on disk for a refused message, so it needs a
     // done record.
-    if (open_file_ < 0) unwritten_done_.push_back(out.sequence);
+    if (open_file_ < 0) unwritten_done_.push_back(record.sequence);
     return false;
   }
-  entry.id = m.id;
+  entry.id = message.id;
   entry.copy_bytes = static_cast<uint32_t>(kFrameHeaderBytes + payload.size());
-  sequence_by_id_[m.id] = out.sequence;
-  IndexedMessage& stored = messages_[out.sequence] = std::move(entry);
-  add_to_segment(out.sequence, stored, segment, offset, payload.size());
+  sequence_by_id_[message.id] = record.sequence;
+  IndexedMessage& stored = messages_[record.sequence] = std::move(entry);
+  add_to_segment(record.sequence, stored, segment, offset, payload.size());
   return true;
 }
 
--- a/tests/ctl/journal_test.cpp
+++ b/tests/ctl/journal_test.cpp
@@ -101,7 +101,7 @@
   EXPECT_EQ(check(), 1);
   const json report = json::parse(out_.str());
   EXPECT_EQ(report.at("segments").at(0).at("lost").at(0).at("at"), kHeaderBytes);
-  EXPECT_EQ(report.at("orphans"), 1) << "attempts of a are left";
+  EXPECT_EQ(report.at("orphans"), 1) << "records of the attempts of a are left";
   EXPECT_EQ(check(false), 1);
   EXPECT_NE(out_.str().find("NOT whole"), std::string::npos);
 }
--- a/tests/state/journal_test.cpp
+++ b/tests/state/journal_test.cpp
@@ -86,7 +86,8 @@
   std::string out;
   for (const auto& [id, message_state] : model.messages) {
     out += id + "(" + std::to_string(message_state.attempts) + "/" +
-           std::to_string(message_state.maybe_executed.size()) + (message_state.notice ? " owed" : "") + ") ";
+           std::to_string(message_state.maybe_executed.size()) + (message_state.notice ? " notice" : "") +
+           ") ";
   }
   for (const auto& [name, value] : model.metadata) out += name + "=" + value.substr(0, 8) + " ";
   return out;
@@ -105,15 +106,15 @@
   size_t disk = 0;
 };
 
-void run_random_steps(History& h, uint64_t seed, int steps) {
+void run_random_steps(History& history, uint64_t seed, int steps) {
   std::mt19937_64 random(seed);
   const auto below = [&](uint64_t n) { return random() % n; };
-  h.disk = 24'000 + below(4) * 8'000;
-  auto journal = std::make_unique<Journal>(h.files, options(h.disk, seed));
+  history.disk = 24'000 + below(4) * 8'000;
+  auto journal = std::make_unique<Journal>(history.files, options(history.disk, seed));
   Model model;
   int next_id = 0;
   for (int i = 0; i < steps; ++i) {
-    Step step{h.files.changes.size(), model, {}};
+    Step step{history.files.changes.size(), model, {}};
     const uint64_t choice = below(100);
     ModelMessage* message_state =
         model.messages.empty() ? nullptr : &model.messages[below(model.messages.size())].second;
@@ -161,41 +162,41 @@
       journal->compact(200 + below(2000));
     } else {
       journal.reset();
-      journal = std::make_unique<Journal>(h.files, options(h.disk, seed + i + 1));
+      journal = std::make_unique<Journal>(history.files, options(history.disk, seed + i + 1));
     }
     step.after = model;
-    h.steps.push_back(std::move(step));
+    history.steps.push_back(std::move(step));
   }
 }
 
 // Recovers from the folder as a kill would leave it between any two changes, and after the given prefixes of
 // each write. Returns the number of such points.
 template <class Prefixes>
-size_t recover_at_every_kill_point(const History& h, Prefixes prefixes) {
+size_t recover_at_every_kill_point(const History& history, Prefixes prefixes) {
   Contents now;
   size_t points = 0;
   size_t step = 0;
-  for (size_t i = 0; i <= h.files.changes.size(); ++i) {
-    while (step + 1 < h.steps.size() && h.steps[step + 1].first_change <= i) ++step;
+  for (size_t i = 0; i <= history.files.changes.size(); ++i) {
+    while (step + 1 < history.steps.size() && history.steps[step + 1].first_change <= i) ++step;
     // Several steps may begin at one change number; those that change nothing on disk have the same expected
     // state.
     size_t earliest = step;
-    while (earliest > 0 && h.steps[earliest].first_change == i) --earliest;
+    while (earliest > 0 && history.steps[earliest].first_change == i) --earliest;
     const auto check = [&](const Contents& contents, size_t prefix) {
       ++points;
       MemoryFiles files(contents);
-      const Model found = recover_model(files, h.disk);
+      const Model found = recover_model(files, history.disk);
       for (size_t s = earliest; s <= step; ++s) {
-        if (found == h.steps[s].before || found == h.steps[s].after) return true;
+        if (found == history.steps[s].before || found == history.steps[s].after) return true;
       }
       ADD_FAILURE() << "change " << i << " prefix " << prefix << ": found " << describe(found)
-                    << "\n  before " << describe(h.steps[step].before) << "\n  after "
-                    << describe(h.steps[step].after);
+                    << "\n  before " << describe(history.steps[step].before) << "\n  after "
+                    << describe(history.steps[step].after);
       return false;
     };
     if (!check(now, 0)) return points;
-    if (i == h.files.changes.size()) break;
-    const auto& change = h.files.changes[i];
+    if (i == history.files.changes.size()) break;
+    const auto& change = history.files.changes[i];
     if (change.type == MemoryFiles::Change::Type::kAppend) {
       for (const size_t prefix : prefixes(change.bytes.size())) {
         Contents cut = now;
@@ -211,15 +212,15 @@
 TEST(JournalModel, IsRightAfterAKillAtEveryByteOfShortHistories) {
   size_t points = 0;
   for (uint64_t seed = 1; seed <= 12; ++seed) {
-    History h;
-    run_random_steps(h, seed, 25);
-    points += recover_at_every_kill_point(h, [](size_t size) {
+    History history;
+    run_random_steps(history, seed, 25);
+    points += recover_at_every_kill_point(history, [](size_t size) {
       std::vector<size_t> all(size > 0 ? size - 1 : 0);
       for (size_t i = 0; i < all.size(); ++i) all[i] = i + 1;
       return all;
     });
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
-    EXPECT_LE(h.files.max_used_bytes, h.disk);
+    EXPECT_LE(history.files.max_used_bytes, history.disk);
   }
   RecordProperty("crash_points", static_cast<int>(points));
   EXPECT_GT(points, 10'000u);
@@ -235,22 +236,22 @@
   size_t points = 0, copied = 0;
   for (int i = 0; i < history_count; ++i) {
     const uint64_t seed = static_cast<uint64_t>(GetParam()) * 1'000'000 + static_cast<uint64_t>(i) + 100;
-    History h;
+    History history;
     // One history in five is long enough for compaction to rewrite the whole disk several times; only its
     // final state is checked.
     const bool long_one = i % 5 == 0;
-    run_random_steps(h, seed, long_one ? 400 : 30);
-    EXPECT_LE(h.files.max_used_bytes, h.disk) << "seed " << seed;
+    run_random_steps(history, seed, long_one ? 400 : 30);
+    EXPECT_LE(history.files.max_used_bytes, history.disk) << "seed " << seed;
     std::mt19937_64 random(seed);
     if (long_one) {
-      MemoryFiles files(h.files.contents());
-      const Model found = recover_model(files, h.disk);
-      EXPECT_EQ(found, h.steps.back().after) << "seed " << seed << ": " << describe(found);
+      MemoryFiles files(history.files.contents());
+      const Model found = recover_model(files, history.disk);
+      EXPECT_EQ(found, history.steps.back().after) << "seed " << seed << ": " << describe(found);
       const Model second = inspect_model(files);
-      EXPECT_EQ(second, found) << "seed " << seed << ": the second reader sees " << describe(second);
-      copied += h.files.changes.size();
+      EXPECT_EQ(second, found) << "seed " << seed << ": inspect_folder() returns " << describe(second);
+      copied += history.files.changes.size();
     } else {
-      points += recover_at_every_kill_point(h, [&](size_t size) {
+      points += recover_at_every_kill_point(history, [&](size_t size) {
         return size < 2 ? std::vector<size_t>{} : std::vector<size_t>{1 + random() % (size - 1)};
       });
     }
@@ -577,7 +578,7 @@
         RecoveryReport report;
         const Model found = recover_model(left, kDisk, &report);
         if (!truncate_fails) {
-          EXPECT_EQ(report.damaged_ranges + report.torn_bytes, 0u) << "a failed write was not cut off";
+          EXPECT_EQ(report.damaged_ranges + report.torn_bytes, 0u) << "a failed write was not undone";
         }
         // An attempt whose write failed and could not be undone may be recovered; that errs on the safe side.
         Model expected = model, seen = found;
@@ -587,9 +588,9 @@
               message_state.maybe_executed.clear(), message_state.attempts = 0;
           }
         }
-        ASSERT_EQ(seen, expected) << "operation " << at << " partly " << partial_write << " uncut "
-                                  << truncate_fails << "\n found " << describe(found) << "\n claimed "
-                                  << describe(model);
+        ASSERT_EQ(seen, expected) << "operation " << at << " partial write " << partial_write
+                                  << " truncate fails " << truncate_fails << "\n found " << describe(found)
+                                  << "\n expected " << describe(model);
       }
     }
   }
@@ -725,7 +726,7 @@
     compactions += journal.copied_bytes() > copied;
     MemoryFiles left(files.contents());
     const Model found = recover_model(left, kDisk);
-    ASSERT_EQ(found, model) << describe(found) << "\n claimed " << describe(model);
+    ASSERT_EQ(found, model) << describe(found) << "\n expected " << describe(model);
   }
   EXPECT_GT(compactions, 60u);
 }
@@ -862,7 +863,7 @@
     ASSERT_TRUE(journal.record_attempt("a", 0, 5, 0));
     journal.record_done("a");
     ASSERT_TRUE(journal.record_accepted(message("a"), 2));
-    EXPECT_FALSE(journal.record_accepted(message("a"), 3)) << "it is alive";
+    EXPECT_FALSE(journal.record_accepted(message("a"), 3)) << "the message is live";
   }
   const Model found = recover_model(files, 100'000);
   ASSERT_EQ(found.messages.size(), 1u);
--- a/tests/state/power_test.cpp
+++ b/tests/state/power_test.cpp
@@ -54,22 +54,24 @@
       if (journal_->record_accepted(message(new_id, body), 1))
         messages_[new_id] = {body, journal_->written_position(), {}, {}, {}, {}, {}};
     } else if (choice < 45) {
-      ExpectedMessage& c = messages_.at(id);
-      const int number = static_cast<int>(c.attempted.size());
+      ExpectedMessage& expected = messages_.at(id);
+      const int number = static_cast<int>(expected.attempted.size());
       // As in the relay, an attempt starts only once its record and its message's are durable.
-      if (number < 6 && !c.notice) {
-        c.attempted.insert(number);
-        if (journal_->record_attempt(id, number, 10, 0)) c.attempts[number] = journal_->written_position();
+      if (number < 6 && !expected.notice) {
+        expected.attempted.insert(number);
+        if (journal_->record_attempt(id, number, 10, 0))
+          expected.attempts[number] = journal_->written_position();
       }
     } else if (choice < 50) {
-      ExpectedMessage& c = messages_.at(id);
-      if (!c.attempts.empty()) {
-        c.not_executed.insert(c.attempts.rbegin()->first);
-        journal_->record_not_executed(id, c.attempts.rbegin()->first);
+      ExpectedMessage& expected = messages_.at(id);
+      if (!expected.attempts.empty()) {
+        expected.not_executed.insert(expected.attempts.rbegin()->first);
+        journal_->record_not_executed(id, expected.attempts.rbegin()->first);
       }
     } else if (choice < 55) {
-      ExpectedMessage& c = messages_.at(id);
-      if (!c.notice && journal_->record_notice({id, true, 5})) c.notice = journal_->written_position();
+      ExpectedMessage& expected = messages_.at(id);
+      if (!expected.notice && journal_->record_notice({id, true, 5}))
+        expected.notice = journal_->written_position();
     } else if (choice < 70) {
       journal_->record_done(id);
       messages_.at(id).done_position =
@@ -84,9 +86,9 @@
       finish_sync(true);
       restart();
     }
-    for (auto& [name, c] : messages_) {
-      if (c.done_position == kUnwrittenDone && journal_->has_no_backlog())
-        c.done_position = journal_->written_position();
+    for (auto& [name, expected] : messages_) {
+      if (expected.done_position == kUnwrittenDone && journal_->has_no_backlog())
+        expected.done_position = journal_->written_position();
     }
   }
 
@@ -97,8 +99,8 @@
       Journal found(left, group_options(disk_, 3));
       std::map<std::string, RecoveredMessage> recovered;
       found.recover([&](RecoveredMessage r) { recovered[r.message.id] = std::move(r); });
-      for (const auto& [id, c] : messages_)
-        check(id, c, recovered.contains(id) ? &recovered.at(id) : nullptr);
+      for (const auto& [id, expected] : messages_)
+        check(id, expected, recovered.contains(id) ? &recovered.at(id) : nullptr);
       for (const auto& [id, r] : recovered) EXPECT_TRUE(messages_.contains(id) || was_submitted(id)) << id;
       ++power_losses;
       if (power_losses % 2 == 0) flip_random_bit(left, recovered);
@@ -144,16 +146,16 @@
 
   std::string random_live_id() {
     std::vector<std::string> live_ids;
-    for (const auto& [id, c] : messages_) {
-      if (!c.done_position) live_ids.push_back(id);
+    for (const auto& [id, expected] : messages_) {
+      if (!expected.done_position) live_ids.push_back(id);
     }
     return live_ids.empty() ? "" : live_ids[below(live_ids.size())];
   }
 
   void restart() {
     std::set<std::string> durable_ids;
-    for (const auto& [id, c] : messages_) {
-      if (journal_ && journal_->is_durable(c.accepted_position)) durable_ids.insert(id);
+    for (const auto& [id, expected] : messages_) {
+      if (journal_ && journal_->is_durable(expected.accepted_position)) durable_ids.insert(id);
     }
     journal_.reset();
     journal_ = std::make_unique<Journal>(files_, group_options(disk_, random_() | 1));
@@ -165,17 +167,17 @@
       return !recovered.contains(entry.first) && !entry.second.done_position &&
              !durable_ids.contains(entry.first);
     });
-    for (auto& [id, c] : messages_) {
+    for (auto& [id, expected] : messages_) {
       if (recovered.contains(id)) {
-        std::erase_if(c.attempts,
+        std::erase_if(expected.attempts,
                       [&](const auto& t) { return !recovered.at(id).maybe_executed.contains(t.first); });
-        if (c.notice && !recovered.at(id).pending_notice) c.notice.reset();
-        c.done_position.reset();
+        if (expected.notice && !recovered.at(id).pending_notice) expected.notice.reset();
+        expected.done_position.reset();
       }
-      c.accepted_position = 0;
-      for (auto& [number, at] : c.attempts) at = 0;
-      if (c.notice) c.notice = 0;
-      if (c.done_position) c.done_position = 0;
+      expected.accepted_position = 0;
+      for (auto& [number, at] : expected.attempts) at = 0;
+      if (expected.notice) expected.notice = 0;
+      if (expected.done_position) expected.done_position = 0;
     }
   }
 
@@ -196,21 +198,23 @@
     failed_syncs += !done;
   }
 
-  void check(const std::string& id, const ExpectedMessage& c, const RecoveredMessage* r) {
-    if (c.done_position) {
-      EXPECT_TRUE(r == nullptr || !journal_->is_durable(*c.done_position)) << id << " ended and came back";
-    } else if (journal_->is_durable(c.accepted_position)) {
-      EXPECT_NE(r, nullptr) << id << " was taken on and is lost";
+  void check(const std::string& id, const ExpectedMessage& expected, const RecoveredMessage* r) {
+    if (expected.done_position) {
+      EXPECT_TRUE(r == nullptr || !journal_->is_durable(*expected.done_position))
+          << id << " is finished and was recovered";
+    } else if (journal_->is_durable(expected.accepted_position)) {
+      EXPECT_NE(r, nullptr) << id << " was accepted and is lost";
     }
     if (r == nullptr) return;
-    EXPECT_EQ(r->message.body, message(id, c.body).body) << id;
-    for (const auto& [number, at] : c.attempts) {
-      if (!journal_->is_durable(at) || c.not_executed.contains(number)) continue;
-      EXPECT_TRUE(r->maybe_executed.contains(number)) << id << " may have run: attempt " << number;
+    EXPECT_EQ(r->message.body, message(id, expected.body).body) << id;
+    for (const auto& [number, at] : expected.attempts) {
+      if (!journal_->is_durable(at) || expected.not_executed.contains(number)) continue;
+      EXPECT_TRUE(r->maybe_executed.contains(number)) << id << " may have been executed: attempt " << number;
     }
-    for (const auto& [number, sent] : r->maybe_executed) EXPECT_TRUE(c.attempted.contains(number)) << id;
-    EXPECT_TRUE(r->pending_notice || !c.notice || !journal_->is_durable(*c.notice))
-        << id << " was given back";
+    for (const auto& [number, sent] : r->maybe_executed)
+      EXPECT_TRUE(expected.attempted.contains(number)) << id;
+    EXPECT_TRUE(r->pending_notice || !expected.notice || !journal_->is_durable(*expected.notice))
+        << id << " has a durable notice that was not recovered";
   }
 
   size_t disk_;
@@ -285,7 +289,7 @@
       if (i % 10 != 9) continue;
       const uint64_t position = journal.written_position();
       for (int tries = 0; !(journal.is_durable(position) && journal.has_no_backlog()); ++tries) {
-        ASSERT_LT(tries, 10) << "seed " << seed << " step " << i << ": it stands still";
+        ASSERT_LT(tries, 10) << "seed " << seed << " step " << i << ": the journal makes no progress";
         journal.compact(4096);
         if (!journal.needs_sync()) continue;
         const Journal::SyncRequest next = journal.begin_sync();
@@ -308,10 +312,10 @@
   ASSERT_TRUE(journal.needs_sync());
   const Journal::SyncRequest sync = journal.begin_sync();
   ASSERT_TRUE(journal.record_accepted(message("b", 10), 1));
-  EXPECT_FALSE(journal.needs_sync()) << "one at a time";
+  EXPECT_FALSE(journal.needs_sync()) << "only one sync may be in progress";
   journal.end_sync(sync, Journal::execute_sync(files, sync));
   EXPECT_TRUE(journal.is_durable(first));
-  EXPECT_FALSE(journal.is_durable(journal.written_position())) << "it came while the sync was out";
+  EXPECT_FALSE(journal.is_durable(journal.written_position())) << "it was recorded after the sync had begun";
   EXPECT_TRUE(journal.needs_sync());
 }
 
