--- a/standins/partner.h
+++ b/standins/partner.h
@@ -20,9 +20,10 @@
   int concurrency = 4;                // calls served concurrently
   Time max_queue_wait = kSecond / 2;  // a call that would wait longer for a free place is refused
   enum class Limit { kNone, kRate, kWindow } limit = Limit::kNone;
-  double limit_rate = 0;           // calls per second
-  Time limit_window = kSecond;     // length of a window of a windowed limit
-  double retry_after_share = 0.5;  // fraction of refusals with a Retry-After, above the limit or while shut
+  double limit_rate = 0;        // calls per second
+  Time limit_window = kSecond;  // length of a window of a windowed limit
+  // Fraction of the refusals above the limit or while unavailable that have a Retry-After.
+  double retry_after_share = 0.5;
   Time min_retry_after = 200 * kMillisecond;  // lowest Retry-After of a plain rate limit
   Time max_retry_after = 700 * kMillisecond;
   double error_rate = 0;
