--- a/tests/freeze/calendar_test.cpp
+++ b/tests/freeze/calendar_test.cpp
@@ -1,4 +1,4 @@
-// Windows against a model that looks at every second.
+// The calendar compared with a model that evaluates every second by itself.
 #include "freeze/calendar.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace umberhoist::freeze {
 namespace {
 
-constexpr Instant kSecond = 1'000'000;
+constexpr Instant kUsPerSecond = 1'000'000;
 
 Calendar parsed(const std::string& toml) {
   const auto out = parse_calendar(toml);
@@ -57,10 +57,10 @@
 TEST(Calendar, WhereABoundTouchesAWindowChangesAreClosed) {
   const Calendar calendar = parsed(kSongkran);
   const Instant start = calendar.windows[0].start, end = calendar.windows[0].end;
-  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {start - 600 * kSecond, start}).closed);
-  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {end - 1, end + 600 * kSecond}).closed);
+  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {start - 600 * kUsPerSecond, start}).closed);
+  EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {end - 1, end + 600 * kUsPerSecond}).closed);
   EXPECT_TRUE(evaluate(calendar, {ChangeKind::kMap, {}}, {start - 1, end + 1}).closed);
-  EXPECT_FALSE(evaluate(calendar, {ChangeKind::kMap, {}}, {end, end + 600 * kSecond}).closed);
+  EXPECT_FALSE(evaluate(calendar, {ChangeKind::kMap, {}}, {end, end + 600 * kUsPerSecond}).closed);
 }
 
 TEST(Calendar, BackToBackAndOverlappingWindowsAreClosedUntilTheLastEnd) {
@@ -82,9 +82,9 @@
 declared_by = "t"
 )");
   const Instant at = *parse_instant("2027-01-01T00:30:00Z");
-  const auto verdict = evaluate(calendar, {ChangeKind::kLimits, {}}, {at, at});
-  EXPECT_EQ(verdict.window_id, "a");
-  EXPECT_EQ(format_instant(verdict.reopens_at), "2027-01-01T03:00:00Z");
+  const auto decision = evaluate(calendar, {ChangeKind::kLimits, {}}, {at, at});
+  EXPECT_EQ(decision.window_id, "a");
+  EXPECT_EQ(format_instant(decision.reopens_at), "2027-01-01T03:00:00Z");
 }
 
 TEST(Calendar, OneThatEndsInTheSecondInWhichItStarts) {
@@ -118,15 +118,15 @@
 TEST(Calendar, InForceOrWithinItsNoticeAWindowMayOnlyBeExtended) {
   const Calendar present = parsed(kSongkran);
   const Instant start = present.windows[0].start;
-  const TimeBounds before{start - 25 * 3600 * kSecond, start - 25 * 3600 * kSecond};
-  const TimeBounds noticed{start - 23 * 3600 * kSecond, start - 23 * 3600 * kSecond};
+  const TimeBounds before{start - 25 * 3600 * kUsPerSecond, start - 25 * 3600 * kUsPerSecond};
+  const TimeBounds noticed{start - 23 * 3600 * kUsPerSecond, start - 23 * 3600 * kUsPerSecond};
   Calendar next = present;
   next.windows.clear();
   EXPECT_TRUE(edit_violations(present, next, before).empty());
   EXPECT_EQ(edit_violations(present, next, noticed).size(), 1U);
   next = present;
-  next.windows[0].end += kSecond;
-  next.windows[0].destinations.clear();  // all of them: more than before
+  next.windows[0].end += kUsPerSecond;
+  next.windows[0].destinations.clear();  // all destinations: more than before
   EXPECT_TRUE(edit_violations(present, next, noticed).empty());
   next = present;
   next.windows[0].end -= 1;
@@ -135,10 +135,11 @@
   next.windows[0].change_kinds.erase(ChangeKind::kMap);
   EXPECT_EQ(edit_violations(present, next, noticed).size(), 1U);
   next = present;
-  next.windows.push_back({"z", "", start, start + kSecond, {}, {}, "t", 0, 0});  // declared at any time
+  next.windows.push_back(
+      {"z", "", start, start + kUsPerSecond, {}, {}, "t", 0, 0});  // new windows are always allowed
   EXPECT_TRUE(edit_violations(present, next, {start, start}).empty());
   next = present;
-  next.approvers.insert("mallory");  // who would then approve of everything
+  next.approvers.insert("mallory");  // a new approver could approve any change
   EXPECT_EQ(edit_violations(present, next, {start, start}).size(), 1U);
 }
 
@@ -153,8 +154,8 @@
       Window window;
       window.id = "w" + std::to_string(w);
       const int from = static_cast<int>(random() % kSpan), to = from + 1 + static_cast<int>(random() % 30);
-      window.start = from * kSecond;
-      window.end = to * kSecond;
+      window.start = from * kUsPerSecond;
+      window.end = to * kUsPerSecond;
       for (const ChangeKind kind : kChangeKinds) {
         if (random() % 3 == 0) window.change_kinds.insert(kind);
       }
@@ -184,17 +185,17 @@
         expected = expected ||
                    (change.destinations.empty() ? !now.empty() : now.contains(*change.destinations.begin()));
       }
-      // The middle of the seconds: windows begin and end at whole ones.
-      const auto verdict =
-          evaluate(calendar, change, {from * kSecond + kSecond / 2, to * kSecond + kSecond / 2});
-      ASSERT_EQ(verdict.closed, expected) << "round " << round;
+      // In the middle of a second, as windows start and end at whole seconds.
+      const auto decision = evaluate(
+          calendar, change, {from * kUsPerSecond + kUsPerSecond / 2, to * kUsPerSecond + kUsPerSecond / 2});
+      ASSERT_EQ(decision.closed, expected) << "round " << round;
       if (!expected || from != to) continue;
-      // And when it says that changes are open again, they are: not one second sooner.
-      for (int s = from; s * kSecond < verdict.reopens_at && s < kSpan; ++s) {
+      // reopens_at is the first second at which such changes are allowed again.
+      for (int s = from; s * kUsPerSecond < decision.reopens_at && s < kSpan; ++s) {
         const auto& now = closed[k][static_cast<size_t>(s)];
         EXPECT_TRUE(change.destinations.empty() ? !now.empty() : now.contains(*change.destinations.begin()));
       }
-      EXPECT_FALSE(evaluate(calendar, change, {verdict.reopens_at, verdict.reopens_at}).closed);
+      EXPECT_FALSE(evaluate(calendar, change, {decision.reopens_at, decision.reopens_at}).closed);
     }
   }
 }
--- a/tests/register/planted.cmake
+++ b/tests/register/planted.cmake
@@ -1,5 +1,5 @@
-# Each fault of what the fleet shares, and the test that is meant for it: that test has to fail with the fault
-# planted, and all of them pass without one.
+# Plants one fault at a time in the register and its parts. The test named for a fault has to fail with it, and
+# all these tests have to pass without one.
 include(${PROJECT_SOURCE_DIR}/tests/plant.cmake)
 
 umberhoist_plant(register/storage.cpp
--- a/tests/register/storage_test.cpp
+++ b/tests/register/storage_test.cpp
@@ -1,4 +1,5 @@
-// The register's folder at every write boundary: nothing promised is forgotten, no vote is given twice.
+// Storage with a failure or a power loss at every write: durable state must never be lost, in particular a
+// vote, which would let the voter vote twice in a term.
 #include "register/storage.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 
 using state::MemoryFiles;
 
-struct Promised {  // what returned true
+struct DurableState {  // of the steps that returned true
   uint64_t term = 0, vote = 0, promises = 0;
   std::vector<StoredEntry> entries;
   uint64_t snapshot = 0;
@@ -20,13 +21,14 @@
 
 StoredEntry entry(uint64_t index, uint64_t term, const std::string& data) { return {index, term, 1, data}; }
 
-// A voter's life: each step tells whether it was promised. Stops at the first that was not.
-struct Life {
-  std::vector<std::function<bool(Storage&, Promised&)>> steps;
+// Operations of a voter in sequence. Each step returns whether its change is durable; the caller stops at the
+// first that is not.
+struct Scenario {
+  std::vector<std::function<bool(Storage&, DurableState&)>> steps;
 
-  Life() {
+  Scenario() {
     const auto term = [](uint64_t t) {
-      return [t](Storage& s, Promised& p) {
+      return [t](Storage& s, DurableState& p) {
         if (!s.set_term(t)) return false;
         p.term = t;
         p.vote = 0;
@@ -34,14 +36,14 @@
       };
     };
     const auto vote = [](uint64_t who) {
-      return [who](Storage& s, Promised& p) {
+      return [who](Storage& s, DurableState& p) {
         if (!s.set_vote(who)) return false;
         p.vote = who;
         return true;
       };
     };
     const auto append = [](uint64_t from, uint64_t t, size_t count) {
-      return [=](Storage& s, Promised& p) {
+      return [=](Storage& s, DurableState& p) {
         std::vector<StoredEntry> all;
         for (uint64_t i = from; i < from + count; ++i) all.push_back(entry(i, t, std::string(i * 40, 'x')));
         if (!s.append(all)) return false;
@@ -50,14 +52,14 @@
       };
     };
     const auto truncate = [](uint64_t from) {
-      return [=](Storage& s, Promised& p) {
+      return [=](Storage& s, DurableState& p) {
         if (!s.truncate(from)) return false;
         while (!p.entries.empty() && p.entries.back().index >= from) p.entries.pop_back();
         return true;
       };
     };
     const auto snapshot = [](uint64_t index, uint64_t trailing) {
-      return [=](Storage& s, Promised& p) {
+      return [=](Storage& s, DurableState& p) {
         if (!s.put_snapshot({index, 1, "c", 1, std::string(700, 's')}, trailing)) return false;
         p.snapshot = index;
         while (!p.entries.empty() && (trailing == 0 || p.entries.front().index + trailing <= index))
@@ -65,7 +67,7 @@
         return true;
       };
     };
-    steps = {[](Storage& s, Promised&) { return s.initialize(1, Storage::make_identity(2, 1)); },
+    steps = {[](Storage& s, DurableState&) { return s.initialize(1, Storage::make_identity(2, 1)); },
              term(1),
              append(1, 1, 1),
              vote(Storage::make_identity(3, 1)),
@@ -84,14 +86,13 @@
   }
 };
 
-// As the next process finds it. `doubt`: a step that failed or was cut short may have been done or not.
-void check(MemoryFiles& files, const Promised& before, const Promised& after, size_t step,
+// Checks the folder as the next process reads it: the last step may or may not have taken effect.
+void check(MemoryFiles& files, const DurableState& before, const DurableState& after, size_t step,
            const std::string& where) {
   Storage found(files, "n2");
-  if (step == 0 && found.folder_state() != Storage::FolderState::kIntact)
-    return;  // nothing had been promised yet
+  if (step == 0 && found.folder_state() != Storage::FolderState::kIntact) return;  // nothing was durable yet
   ASSERT_EQ(found.folder_state(), Storage::FolderState::kIntact) << where << ": " << found.diagnostic();
-  const auto same = [&](const Promised& p) {
+  const auto same = [&](const DurableState& p) {
     return found.term() == p.term && found.voted_for() == p.vote &&
            (found.snapshot() ? found.snapshot()->index : 0) == p.snapshot &&
            std::vector<StoredEntry>(found.entries().begin(), found.entries().end()) == p.entries;
@@ -103,12 +104,12 @@
 }
 
 TEST(Storage, AtEveryFailedWriteNothingPromisedIsForgotten) {
-  const Life life;
+  const Scenario scenario;
   MemoryFiles whole;
   {
     Storage storage(whole, "n2");
-    Promised promised;
-    for (const auto& step : life.steps) ASSERT_TRUE(step(storage, promised));
+    DurableState durable;
+    for (const auto& step : scenario.steps) ASSERT_TRUE(step(storage, durable));
   }
   const auto changes = static_cast<int64_t>(whole.changes.size());
   ASSERT_GT(changes, 60);
@@ -119,27 +120,27 @@
       files.fail_after_partial_write = how == 1;
       files.fail_after_full_write = how == 2;
       Storage storage(files, "n2");
-      Promised promised;
-      for (size_t i = 0; i < life.steps.size(); ++i) {
-        Promised next = promised;
-        if (life.steps[i](storage, next)) {
+      DurableState durable;
+      for (size_t i = 0; i < scenario.steps.size(); ++i) {
+        DurableState next = durable;
+        if (scenario.steps[i](storage, next)) {
           next.promises = storage.durable_writes();
-          promised = next;
+          durable = next;
           continue;
         }
-        // What it would have been, had it worked: told by the same step on a folder that works.
+        // The state after the failed step, had it succeeded: from the same step on a working folder.
         MemoryFiles ideal;
         Storage other(ideal, "n2");
-        Promised done;
-        for (size_t j = 0; j <= i; ++j) life.steps[j](other, done);
+        DurableState done;
+        for (size_t j = 0; j <= i; ++j) scenario.steps[j](other, done);
         EXPECT_TRUE(storage.failed());
         MemoryFiles found(files.contents());
-        check(found, promised, done, i,
+        check(found, durable, done, i,
               "write " + std::to_string(fail) + " fails in way " + std::to_string(how));
         std::mt19937_64 random(static_cast<uint64_t>(fail));
         for (int loss = 0; loss < 4; ++loss) {
           MemoryFiles lost(files.after_power_loss(random));
-          check(lost, promised, done, i, "power lost after write " + std::to_string(fail) + " failed");
+          check(lost, durable, done, i, "power lost after write " + std::to_string(fail) + " failed");
         }
         break;
       }
@@ -148,28 +149,28 @@
 }
 
 TEST(Storage, AtEveryStepAPowerLossLeavesWhatWasPromised) {
-  const Life life;
+  const Scenario scenario;
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
     MemoryFiles files;
     Storage storage(files, "n2");
-    Promised promised;
-    for (size_t i = 0; i < life.steps.size(); ++i) {
-      ASSERT_TRUE(life.steps[i](storage, promised));
-      promised.promises = storage.durable_writes();
+    DurableState durable;
+    for (size_t i = 0; i < scenario.steps.size(); ++i) {
+      ASSERT_TRUE(scenario.steps[i](storage, durable));
+      durable.promises = storage.durable_writes();
       MemoryFiles lost(files.after_power_loss(random));
-      check(lost, promised, promised, i + 1, "seed " + std::to_string(seed) + ", step " + std::to_string(i));
+      check(lost, durable, durable, i + 1, "seed " + std::to_string(seed) + ", step " + std::to_string(i));
     }
   }
 }
 
 TEST(Storage, AnyByteFlippedIsFoundOrIsOfNoWeight) {
-  const Life life;
+  const Scenario scenario;
   MemoryFiles files;
-  Promised promised;
+  DurableState durable;
   {
     Storage storage(files, "n2");
-    for (const auto& step : life.steps) ASSERT_TRUE(step(storage, promised));
+    for (const auto& step : scenario.steps) ASSERT_TRUE(step(storage, durable));
   }
   const auto contents = files.contents();
   for (const auto& [name, bytes] : contents) {
@@ -179,9 +180,9 @@
       MemoryFiles flipped(changed);
       Storage found(flipped, "n2");
       if (found.folder_state() == Storage::FolderState::kDamaged) continue;
-      EXPECT_EQ(found.term(), promised.term) << name << " at " << at;
-      EXPECT_EQ(found.voted_for(), promised.vote);
-      EXPECT_EQ(std::vector<StoredEntry>(found.entries().begin(), found.entries().end()), promised.entries);
+      EXPECT_EQ(found.term(), durable.term) << name << " at " << at;
+      EXPECT_EQ(found.voted_for(), durable.vote);
+      EXPECT_EQ(std::vector<StoredEntry>(found.entries().begin(), found.entries().end()), durable.entries);
     }
   }
 }
