--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -18,56 +18,56 @@
 
 class Fleet : public ::testing::Test {
  public:
-  void begin(size_t count, size_t voters = 3) {
-    Relays::Options options;
+  void start_fleet(size_t count, size_t voters = 3) {
+    RelayProcesses::Options options;
     options.count = count;
     options.voters = voters;
     options.config = config_json(discovery.address(), {member_json("s-1", host.address(), 7)});
-    relays = std::make_unique<Relays>(options);
+    relays = std::make_unique<RelayProcesses>(options);
     relays->start_all();
-    ASSERT_TRUE(relays->comes_back_whole()) << relays->describe();
+    ASSERT_TRUE(relays->recovers()) << relays->describe();
   }
   void TearDown() override {
     if (!relays) return;
-    for (const std::string& breach : relays->breaches()) ADD_FAILURE() << breach;
+    for (const std::string& violation : relays->violations()) ADD_FAILURE() << violation;
     if (HasFailure()) std::fprintf(stderr, "%s", relays->describe().c_str());
   }
   shards::Map map(size_t relay) {
-    const auto parsed = shards::parse_map(relays->ask(relay, Ask::kMap).text);
+    const auto parsed = shards::parse_map(relays->request(relay, Ask::kMap).text);
     return std::get<shards::Map>(parsed);
   }
 
   FakeHost host;
   FakeDiscovery discovery;
-  std::unique_ptr<Relays> relays;
+  std::unique_ptr<RelayProcesses> relays;
 };
 
-TEST_F(Fleet, ThreeProcessesAgreeAndEveryKeyHasOneOwner) { begin(3); }
+TEST_F(Fleet, ThreeProcessesAgreeAndEveryKeyHasOneOwner) { start_fleet(3); }
 
-TEST_F(Fleet, NineProcessesOfWhichThreeVote) { begin(9); }
+TEST_F(Fleet, NineProcessesOfWhichThreeVote) { start_fleet(9); }
 
-// ---- Power ----
+// ---- Crashes ----
 
 TEST_F(Fleet, AllKilledInOneInstantComeBackAsOne) {
-  begin(5);
+  start_fleet(5);
   const auto before = map(0);
   relays->kill_all();
   relays->start_all();
-  ASSERT_TRUE(relays->comes_back_whole());
-  EXPECT_EQ(map(4), before);  // nobody was lost: no key has moved
+  ASSERT_TRUE(relays->recovers());
+  EXPECT_EQ(map(4), before);  // no member was lost, so no key has moved
 }
 
 TEST_F(Fleet, KilledAgainTwoSecondsIntoTheReturn) {
-  begin(5);
+  start_fleet(5);
   relays->kill_all();
   relays->start_all();
-  std::this_thread::sleep_for(std::chrono::seconds(2));  // the case itself
+  std::this_thread::sleep_for(std::chrono::seconds(2));  // the second kill comes during the recovery
   relays->kill_all();
   relays->start_all();
-  EXPECT_TRUE(relays->comes_back_whole());
+  EXPECT_TRUE(relays->recovers());
 }
 
-shards::Map moved_a_little(shards::Map map) {
+shards::Map move_some_keys(shards::Map map) {
   ++map.epoch;
   map.ranges[0].last -= uint64_t{1} << 60;
   map.ranges[1].first = map.ranges[0].last + 1;
@@ -75,36 +75,36 @@
 }
 
 TEST_F(Fleet, AllKilledWhileAMapIsPrepared) {
-  begin(5);
-  relays->network().cut_off(4, 5);  // it cannot say that it keeps to the map: the commit waits
+  start_fleet(5);
+  relays->network().isolate(4, 5);  // it cannot acknowledge the map, so the commit waits
   std::thread operators(
-      [&, next = moved_a_little(map(0))] { relays->ask(0, Ask::kProposeMap, shards::to_toml(next)); });
+      [&, next = move_some_keys(map(0))] { relays->request(0, Ask::kProposeMap, shards::to_toml(next)); });
   const bool prepared = relays->until([](const auto& all) {
-    return std::any_of(all.begin(), all.end(), [](const Status& s) { return s.words.contains("proposed"); });
+    return std::any_of(all.begin(), all.end(), [](const Status& s) { return s.fields.contains("proposed"); });
   });
   relays->kill_all();
   operators.join();
   ASSERT_TRUE(prepared);
   relays->network().heal();
   relays->start_all();
-  EXPECT_TRUE(relays->comes_back_whole(2));
+  EXPECT_TRUE(relays->recovers(2));
 }
 
 TEST_F(Fleet, APowerLossThatLosesWhatWasNotSynced) {
-  Relays::Options options;
+  RelayProcesses::Options options;
   options.count = 3;
   options.program = UMBERHOIST_FORGETFUL;
   options.config = config_json(discovery.address(), {member_json("s-1", host.address(), 7)});
   options.config["durability"] = "group";
-  relays = std::make_unique<Relays>(options);
+  relays = std::make_unique<RelayProcesses>(options);
   relays->start_all();
-  ASSERT_TRUE(relays->comes_back_whole());
+  ASSERT_TRUE(relays->recovers());
   for (uint64_t epoch = 2; epoch <= 3; ++epoch) {
-    const auto answer = relays->ask(epoch % 3, Ask::kProposeMap, shards::to_toml(moved_a_little(map(0))));
+    const auto answer = relays->request(epoch % 3, Ask::kProposeMap, shards::to_toml(move_some_keys(map(0))));
     ASSERT_TRUE(answer.succeeded) << answer.text;
-    relays->kill_all();  // the instant after it was said to be done
+    relays->kill_all();  // right after the proposal was reported as done
     relays->start_all();
-    ASSERT_TRUE(relays->comes_back_whole(epoch)) << "a promise was forgotten";
+    ASSERT_TRUE(relays->recovers(epoch)) << "a committed map was lost";
   }
   for (size_t i = 0; i < 3; ++i) EXPECT_EQ(relays->lines_with(i, "newcomer"), 0);
 }
@@ -112,38 +112,38 @@
 // ---- Folders ----
 
 TEST_F(Fleet, AFolderGone) {
-  begin(3);
+  start_fleet(3);
   relays->kill(1);
   std::filesystem::remove_all(relays->register_folder(1));
   relays->start_all();
   EXPECT_TRUE(relays->wait_for(1, "newcomer"));
-  ASSERT_TRUE(relays->comes_back_whole());
-  // It counts as a voter again: without another one the two of them agree.
+  ASSERT_TRUE(relays->recovers());
+  // It counts as a voter again: with another voter down, the remaining two agree.
   ASSERT_TRUE(relays->until(
-      [](const auto& all) { return all[1].words.contains("role") && all[1].words.at("role") == "voter"; }));
+      [](const auto& all) { return all[1].fields.contains("role") && all[1].fields.at("role") == "voter"; }));
   relays->kill(2);
-  EXPECT_TRUE(relays->comes_back_whole(2));
+  EXPECT_TRUE(relays->recovers(2));
 }
 
 TEST_F(Fleet, AFolderOfLastWeek) {
-  begin(3);
+  start_fleet(3);
   const auto kept = relays->folder(1) / "last-week";
   relays->kill(1);
   std::filesystem::copy(relays->register_folder(1), kept);
   relays->start_all();
-  ASSERT_TRUE(relays->comes_back_whole());
-  ASSERT_TRUE(relays->ask(0, Ask::kProposeMap, shards::to_toml(moved_a_little(map(0)))).succeeded);
-  ASSERT_TRUE(relays->comes_back_whole(2));
+  ASSERT_TRUE(relays->recovers());
+  ASSERT_TRUE(relays->request(0, Ask::kProposeMap, shards::to_toml(move_some_keys(map(0)))).succeeded);
+  ASSERT_TRUE(relays->recovers(2));
   relays->kill(1);
   std::filesystem::remove_all(relays->register_folder(1));
   std::filesystem::rename(kept, relays->register_folder(1));
   relays->start_all();
   EXPECT_TRUE(relays->wait_for(1, "older than what it promised"));
-  EXPECT_TRUE(relays->comes_back_whole(2));
+  EXPECT_TRUE(relays->recovers(2));
 }
 
 TEST_F(Fleet, TwoFoldersSwapped) {
-  begin(5, 5);
+  start_fleet(5, 5);
   relays->kill(1);
   relays->kill(2);
   const auto aside = relays->folder(1) / "aside";
@@ -153,11 +153,11 @@
   relays->start_all();
   EXPECT_TRUE(relays->wait_for(1, "another relay's"));
   EXPECT_TRUE(relays->wait_for(2, "another relay's"));
-  EXPECT_TRUE(relays->comes_back_whole());
+  EXPECT_TRUE(relays->recovers());
 }
 
 TEST_F(Fleet, OneByteFlippedInTheLog) {
-  begin(3);
+  start_fleet(3);
   relays->kill(1);
   for (const auto& entry : std::filesystem::directory_iterator(relays->register_folder(1))) {
     if (!entry.path().filename().string().starts_with("log-") || entry.file_size() < 40) continue;
@@ -169,101 +169,101 @@
   }
   relays->start_all();
   EXPECT_TRUE(relays->wait_for(1, "is damaged at byte"));
-  EXPECT_TRUE(relays->comes_back_whole());
+  EXPECT_TRUE(relays->recovers());
 }
 
 TEST_F(Fleet, MostFoldersLostTakesAnOperatorsWordOnOneSurvivor) {
-  begin(4);
+  start_fleet(4);
   relays->kill_all();
   std::filesystem::remove_all(relays->register_folder(1));
   std::filesystem::remove_all(relays->register_folder(2));
   relays->start_all();
   ASSERT_TRUE(relays->wait_for(1, "newcomer"));
-  const auto other = relays->ask(1, Ask::kRestore, "n2");
+  const auto other = relays->request(1, Ask::kRestore, "n2");
   EXPECT_FALSE(other.succeeded) << other.text;
-  const auto wrong = relays->ask(0, Ask::kRestore, "n3");
-  EXPECT_FALSE(wrong.succeeded) << wrong.text;  // the name is said once more
-  const auto answer = relays->ask(0, Ask::kRestore, "n1");
+  const auto wrong = relays->request(0, Ask::kRestore, "n3");
+  EXPECT_FALSE(wrong.succeeded) << wrong.text;  // the request must repeat the name of the relay
+  const auto answer = relays->request(0, Ask::kRestore, "n1");
   ASSERT_TRUE(answer.succeeded) << answer.text;
-  ASSERT_TRUE(relays->comes_back_whole());
+  ASSERT_TRUE(relays->recovers());
   EXPECT_TRUE(relays->until([](const auto& all) {
     return std::all_of(all.begin(), all.end(), [](const Status& s) { return s.number("generation") == 2; });
   }));
 }
 
-// ---- Links and processes that stand still ----
+// ---- Broken links and stopped processes ----
 
 TEST_F(Fleet, LinksCutOneWayInGroupsFlappingAndSlow) {
-  begin(5);
+  start_fleet(5);
   Network& network = relays->network();
   LinkFault cut;
   cut.cut = true;
   network.set(0, 1, cut);  // one way
   relays->until([](const auto&) { return false; }, 1500);
   network.heal();
-  for (size_t i = 0; i < 3; ++i) network.cut_off(i, 5);  // three groups and more: no two voters together
+  for (size_t i = 0; i < 3; ++i) network.isolate(i, 5);  // no two voters are connected
   EXPECT_TRUE(relays->until([](const auto& all) {
-    return std::all_of(all.begin(), all.end(), [](const Status& s) { return s.owns.empty() && s.heard; });
+    return std::all_of(all.begin(), all.end(), [](const Status& s) { return s.owns.empty() && s.received; });
   })) << "a lease outlived its leader";
   network.heal();
-  ASSERT_TRUE(relays->comes_back_whole());
+  ASSERT_TRUE(relays->recovers());
   for (int i = 0; i < 4; ++i) {
-    network.cut_off(0, 5, i % 2 == 0);
+    network.isolate(0, 5, i % 2 == 0);
     relays->until([](const auto&) { return false; }, 1000);
   }
   network.heal();
   LinkFault slow;
-  slow.delay_ms = 900;  // beyond the election time-out
+  slow.delay_ms = 900;  // longer than the election time-out
   for (size_t a = 0; a < 5; ++a) {
     for (size_t b = 0; b < 5; ++b) network.set(a, b, slow);
   }
   relays->until([](const auto&) { return false; }, 4000);
   network.heal();
-  EXPECT_TRUE(relays->comes_back_whole());
+  EXPECT_TRUE(relays->recovers());
 }
 
 TEST_F(Fleet, FramesDoubledReorderedAndLost) {
-  begin(4);
+  start_fleet(4);
   LinkFault rough;
   rough.delay_ms = 1;
   rough.jitter_ms = 120;
-  rough.lose = 0.1;
-  rough.twice = 0.3;
+  rough.loss_probability = 0.1;
+  rough.duplicate_probability = 0.3;
   for (size_t a = 0; a < 4; ++a) {
     for (size_t b = 0; b < 4; ++b) relays->network().set(a, b, rough);
   }
-  const auto answer = relays->ask(3, Ask::kProposeMap, shards::to_toml(moved_a_little(map(3))));
+  const auto answer = relays->request(3, Ask::kProposeMap, shards::to_toml(move_some_keys(map(3))));
   EXPECT_TRUE(answer.succeeded) << answer.text;
   relays->network().heal();
-  EXPECT_TRUE(relays->comes_back_whole(2));
+  EXPECT_TRUE(relays->recovers(2));
 }
 
 TEST_F(Fleet, ARelayStoppedPastItsLeaseAndContinued) {
-  begin(4);
+  start_fleet(4);
   relays->signal(3, SIGSTOP);
   ASSERT_TRUE(relays->until([](const auto& all) {
-    return Relays::whole({all.begin(), all.begin() + 3}, 2);
+    return RelayProcesses::has_complete_map({all.begin(), all.begin() + 3}, 2);
   }));
   relays->signal(3, SIGCONT);
-  // The first thing that it says of itself is held against what the others said while it stood still.
-  ASSERT_TRUE(relays->until([](const auto& all) { return all[3].heard; }));
-  EXPECT_TRUE(relays->comes_back_whole(2));
+  // Its first status is checked against those that the others reported while it was stopped.
+  ASSERT_TRUE(relays->until([](const auto& all) { return all[3].received; }));
+  EXPECT_TRUE(relays->recovers(2));
 }
 
 // ---- Maps, windows, versions ----
 
 TEST_F(Fleet, TwoOperatorsProposeDifferentMapsForOneEpoch) {
-  begin(3);
-  const auto one = moved_a_little(map(0));
+  start_fleet(3);
+  const auto one = move_some_keys(map(0));
   auto other = one;
   other.ranges[0].last -= 7;
   other.ranges[1].first -= 7;
   ctl::FleetReply first, second;
-  std::thread operators([&] { first = relays->ask(0, Ask::kProposeMap, shards::to_toml(one)); });
-  second = relays->ask(2, Ask::kProposeMap, shards::to_toml(other));
+  std::thread operators([&] { first = relays->request(0, Ask::kProposeMap, shards::to_toml(one)); });
+  second = relays->request(2, Ask::kProposeMap, shards::to_toml(other));
   operators.join();
   EXPECT_EQ(first.succeeded + second.succeeded, 1) << first.text << "\n" << second.text;
-  ASSERT_TRUE(relays->comes_back_whole(2));
+  ASSERT_TRUE(relays->recovers(2));
   EXPECT_EQ(map(1), first.succeeded ? one : other);
 }
 
@@ -277,35 +277,35 @@
 }
 
 TEST_F(Fleet, InsideAWindowNothingChangesButFactsAndWhatTwoApproversStandFor) {
-  begin(4);
-  const auto declared = relays->ask(3, Ask::kDeclare, window(-10, 3600));
+  start_fleet(4);
+  const auto declared = relays->request(3, Ask::kDeclare, window(-10, 3600));
   ASSERT_TRUE(declared.succeeded) << declared.text;
-  // Reload by SIGHUP.
+  // A reload by SIGHUP.
   auto config = relays->configuration(2);
   config["settings"]["bounds"]["open_cap"] = 21;
   relays->configure(2, config);
   relays->signal(2, SIGHUP);
   ASSERT_TRUE(relays->wait_for(2, "configuration stays as it was: reload is closed by window 'sale'"));
   // A map.
-  const auto next = moved_a_little(map(0));
-  const auto refused = relays->ask(1, Ask::kProposeMap, shards::to_toml(next));
+  const auto next = move_some_keys(map(0));
+  const auto refused = relays->request(1, Ask::kProposeMap, shards::to_toml(next));
   EXPECT_FALSE(refused.succeeded);
   EXPECT_NE(refused.text.find("closed by window 'sale' until"), std::string::npos) << refused.text;
   // The calendar itself.
-  EXPECT_FALSE(relays->ask(0, Ask::kDeclare, "approvers = [\"ann\", \"bo\"]\n").succeeded);
+  EXPECT_FALSE(relays->request(0, Ask::kDeclare, "approvers = [\"ann\", \"bo\"]\n").succeeded);
   // One name is not enough, two are.
-  ASSERT_TRUE(relays->except(0, reg::digest_of(next), "ann", 5).succeeded);
-  EXPECT_FALSE(relays->ask(1, Ask::kProposeMap, shards::to_toml(next)).succeeded);
-  ASSERT_TRUE(relays->except(2, reg::digest_of(next), "bo", 5).succeeded);
-  EXPECT_TRUE(relays->ask(1, Ask::kProposeMap, shards::to_toml(next)).succeeded);
-  ASSERT_TRUE(relays->comes_back_whole(2));
-  // A fact: a dead owner's keys are repaired.
+  ASSERT_TRUE(relays->approve_exception(0, reg::digest_of(next), "ann", 5).succeeded);
+  EXPECT_FALSE(relays->request(1, Ask::kProposeMap, shards::to_toml(next)).succeeded);
+  ASSERT_TRUE(relays->approve_exception(2, reg::digest_of(next), "bo", 5).succeeded);
+  EXPECT_TRUE(relays->request(1, Ask::kProposeMap, shards::to_toml(next)).succeeded);
+  ASSERT_TRUE(relays->recovers(2));
+  // The repair of a lost owner's keys is not subject to the window.
   relays->kill(3);
-  EXPECT_TRUE(relays->comes_back_whole(3));
+  EXPECT_TRUE(relays->recovers(3));
 }
 
 TEST_F(Fleet, AVersionReachesAllAndARelayThatWasAwayComesBackToIt) {
-  begin(4);
+  start_fleet(4);
   relays->kill(3);
   auto config = relays->configuration(0);
   config["settings"]["bounds"]["open_cap"] = 21;
@@ -313,22 +313,23 @@
   relays->signal(0, SIGHUP);
   for (size_t i = 0; i < 3; ++i) ASSERT_TRUE(relays->wait_for(i, "runs version 1")) << i;
   ASSERT_TRUE(
-      relays->until([](const auto& all) { return all[0].heard && all[0].words.at("version") == "1"; }));
-  relays->start(3);  // its own file says otherwise
+      relays->until([](const auto& all) { return all[0].received && all[0].fields.at("version") == "1"; }));
+  relays->start(3);  // its own file has other settings
   EXPECT_TRUE(relays->wait_for(3, "runs version 1"));
 }
 
 TEST_F(Fleet, AStartRunsTheRegistersVersionAndNotItsOwnFiles) {
-  begin(3);
+  start_fleet(3);
   auto config = relays->configuration(0);
   config["settings"]["bounds"]["open_cap"] = 2;
   relays->configure(0, config);
   relays->signal(0, SIGHUP);
   ASSERT_TRUE(relays->wait_for(1, "runs version 1"));
-  ASSERT_TRUE(relays->until([](const auto& all) { return all[1].heard && all[1].words.at("runs") == "1"; }));
+  ASSERT_TRUE(
+      relays->until([](const auto& all) { return all[1].received && all[1].fields.at("runs") == "1"; }));
   relays->kill(1);
   relays->start_all();
-  auto client = relays->client(1);  // its own file has room for twenty
+  auto client = relays->client(1);  // its own file has a limit of twenty
   for (int m = 0; m < 3; ++m) {
     client.send(firspool::testing::put_command("0000000000000b0" + std::to_string(m),
                                                "c=keyed,d=60000,k=5c0f6e1a2b3d4c59,dest=7"));
@@ -338,12 +339,12 @@
 }
 
 TEST_F(Fleet, WithoutAQuorumChangesAreClosedAndMessagesServed) {
-  begin(3);
+  start_fleet(3);
   relays->kill(1);
   relays->kill(2);
   ASSERT_TRUE(
-      relays->until([](const auto& all) { return all[0].heard && all[0].words.at("leader") == "none"; }));
-  const auto refused = relays->ask(0, Ask::kDeclare, window(60, 120));
+      relays->until([](const auto& all) { return all[0].received && all[0].fields.at("leader") == "none"; }));
+  const auto refused = relays->request(0, Ask::kDeclare, window(60, 120));
   EXPECT_FALSE(refused.succeeded);
   EXPECT_NE(refused.text.find("changes are closed"), std::string::npos) << refused.text;
   auto client = relays->client(0);
@@ -357,8 +358,8 @@
 // ---- Delivery ----
 
 TEST_F(Fleet, WhatWasTakenOnIsDeliveredOnceAfterAllWereKilled) {
-  begin(3);
-  // The host is silent, so that all of it is held when the power goes.
+  start_fleet(3);
+  // The host does not answer, so that all messages are unfinished at the kill.
   std::set<std::string> owed;
   for (size_t i = 0; i < 3; ++i) {
     auto client = relays->client(i);
@@ -385,36 +386,37 @@
   for (size_t i = 0; i < 3; ++i) EXPECT_TRUE(relays->wait_for(i, "recovery: over"));
 }
 
-// While a destination is out exactly one relay sends its scouts, its owner; its word ends the outage for all.
+// During an outage of a destination only its owner sends trial calls, and its report ends the outage for all
+// relays.
 TEST_F(Fleet, OneRelayScoutsForAllAndItsWordIsTheOthers) {
-  begin(3);
+  start_fleet(3);
   const shards::Map held = map(0);
   const std::string owner = shards::find_range(held, shards::key_of(7))->owner;
-  // New messages all the time, as a repeat pays from a bucket that is empty soon.
+  // New messages all the time, because the retry budget is soon used up.
   std::atomic<bool> over = false;
   std::thread clients([&] {
     std::vector<firspool::testing::Socket> lines;
     for (size_t i = 0; i < 3; ++i) lines.push_back(relays->client(i));
     for (int m = 0; !over; ++m) {
       for (size_t i = 0; i < 3; ++i) {
-        const std::string id = Relays::name(i) + "x" + std::to_string(m);
+        const std::string id = RelayProcesses::name(i) + "x" + std::to_string(m);
         lines[i].send(firspool::testing::put_command(id, "c=safe,d=8000,k=5c0f6e1a2b3d4c59,dest=7"));
         lines[i].read_line();
       }
-      std::this_thread::sleep_for(std::chrono::milliseconds(200));  // a rate of traffic
+      std::this_thread::sleep_for(std::chrono::milliseconds(200));  // paces the traffic
     }
   });
   const auto sender = [](const firspool::testing::Request& call) {
     return call.headers.at("x-call-id").substr(0, 2);
   };
-  // Every call is lost, until the last twelve in a row were the owner's alone.
+  // All calls fail until twelve in a row have come from the owner.
   int in_a_row = 0;
   for (int calls = 0; in_a_row < 12 && calls < 400; ++calls) {
     in_a_row = sender(host.next_request()) == owner ? in_a_row + 1 : 0;
     host.reset();
   }
   EXPECT_EQ(in_a_row, 12);
-  // Then it is up: the others send as soon as they have the owner's word.
+  // Then the host answers: the other relays send once they have the owner's report.
   for (std::set<std::string> seen; seen.size() < 3;) {
     seen.insert(sender(host.next_request()));
     host.respond("200", "Connection: close\r\n");
@@ -423,11 +425,11 @@
   over = true;
   clients.join();
   for (size_t i = 0; i < 3; ++i) {
-    EXPECT_TRUE(Relays::name(i) == owner || relays->wait_for(i, "as another relay saw"));
+    EXPECT_TRUE(RelayProcesses::name(i) == owner || relays->wait_for(i, "as another relay saw"));
   }
 }
 
-// ---- What the platform must not notice ----
+// ---- A relay without a fleet ----
 
 std::string listeners(pid_t pid) {
   std::string out;
@@ -453,7 +455,7 @@
 }
 
 TEST_F(Fleet, ARelayWithoutFleetListensOpensAndRunsNothingNewBesideOneThatHasIt) {
-  begin(3);
+  start_fleet(3);
   firspool::testing::RelayProcess alone(
       config_json(discovery.address(), {member_json("s-1", host.address(), 7)}));
   alone.start();
--- a/tests/fleet/forgetful_files.cpp
+++ b/tests/fleet/forgetful_files.cpp
@@ -1,6 +1,6 @@
-// In place of state/files.cpp in a test-only program: a disk that loses power with the process. What was
-// written and not synced is kept in the process's memory, and of it by seed nothing, a part, or blocks out of
-// order have reached the file when SIGKILL comes. Which files there are under which names is not delayed.
+// Replaces state/files.cpp in a test-only program and simulates a power loss at SIGKILL. Unsynced writes are
+// kept in memory; depending on the seed, none, some, or some blocks out of order have reached the file when
+// the process is killed. Creation, renaming and removal of files take effect at once.
 #include <fcntl.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -36,7 +36,7 @@
     const int file =
         read_only_ ? -1 : ::open((folder_ / name).c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     const std::lock_guard lock(mutex_);
-    if (file >= 0) open_[file] = {};
+    if (file >= 0) unsynced_[file] = {};
     return file;
   }
   int open(const std::string& name) override {
@@ -44,46 +44,49 @@
   }
   ssize_t append(int file, std::string_view bytes) override {
     const std::lock_guard lock(mutex_);
-    Open& of = open_[file];
-    of.pending.append(bytes);
-    // The system writes back when it likes: some block of what waits, the others not yet.
-    if (random_() % 4 == 0 && !of.pending.empty()) {
-      const size_t block = random_() % ((of.pending.size() + kDiskBlockBytes - 1) / kDiskBlockBytes);
-      const std::string_view some =
-          std::string_view(of.pending).substr(block * kDiskBlockBytes, kDiskBlockBytes);
-      if (::pwrite(file, some.data(), some.size(), static_cast<off_t>(of.safe + block * kDiskBlockBytes)) < 0)
+    UnsyncedFile& file_state = unsynced_[file];
+    file_state.pending.append(bytes);
+    // Like the kernel, write some pending block back early, before the others.
+    if (random_() % 4 == 0 && !file_state.pending.empty()) {
+      const size_t block = random_() % ((file_state.pending.size() + kDiskBlockBytes - 1) / kDiskBlockBytes);
+      const std::string_view block_bytes =
+          std::string_view(file_state.pending).substr(block * kDiskBlockBytes, kDiskBlockBytes);
+      if (::pwrite(file, block_bytes.data(), block_bytes.size(),
+                   static_cast<off_t>(file_state.synced_bytes + block * kDiskBlockBytes)) < 0)
         return -1;
     }
     return static_cast<ssize_t>(bytes.size());
   }
-  ssize_t read(int file, size_t at, char* to, size_t most) override {
+  ssize_t read(int file, size_t at, char* to, size_t max_bytes) override {
     const std::lock_guard lock(mutex_);
-    const auto of = open_.find(file);
-    if (of == open_.end() || of->second.pending.empty())
-      return ::pread(file, to, most, static_cast<off_t>(at));
-    if (at >= of->second.safe) {
-      const std::string& pending = of->second.pending;
-      if (at - of->second.safe >= pending.size()) return 0;
-      return static_cast<ssize_t>(pending.copy(to, most, at - of->second.safe));
+    const auto file_state = unsynced_.find(file);
+    if (file_state == unsynced_.end() || file_state->second.pending.empty())
+      return ::pread(file, to, max_bytes, static_cast<off_t>(at));
+    if (at >= file_state->second.synced_bytes) {
+      const std::string& pending = file_state->second.pending;
+      if (at - file_state->second.synced_bytes >= pending.size()) return 0;
+      return static_cast<ssize_t>(pending.copy(to, max_bytes, at - file_state->second.synced_bytes));
     }
-    return ::pread(file, to, std::min(most, of->second.safe - at), static_cast<off_t>(at));
+    return ::pread(file, to, std::min(max_bytes, file_state->second.synced_bytes - at),
+                   static_cast<off_t>(at));
   }
   ssize_t size(int file) override {
     const std::lock_guard lock(mutex_);
-    const auto of = open_.find(file);
-    if (of != open_.end()) return static_cast<ssize_t>(of->second.safe + of->second.pending.size());
-    struct stat facts {};
-    return ::fstat(file, &facts) == 0 ? static_cast<ssize_t>(facts.st_size) : -1;
+    const auto file_state = unsynced_.find(file);
+    if (file_state != unsynced_.end())
+      return static_cast<ssize_t>(file_state->second.synced_bytes + file_state->second.pending.size());
+    struct stat status {};
+    return ::fstat(file, &status) == 0 ? static_cast<ssize_t>(status.st_size) : -1;
   }
   bool truncate(int file, size_t size) override {
     const std::lock_guard lock(mutex_);
-    Open& of = open_[file];
-    if (size >= of.safe) {
-      of.pending.resize(size - of.safe);
-      return ::ftruncate(file, static_cast<off_t>(of.safe)) == 0;
+    UnsyncedFile& file_state = unsynced_[file];
+    if (size >= file_state.synced_bytes) {
+      file_state.pending.resize(size - file_state.synced_bytes);
+      return ::ftruncate(file, static_cast<off_t>(file_state.synced_bytes)) == 0;
     }
-    of.pending.clear();
-    of.safe = size;
+    file_state.pending.clear();
+    file_state.synced_bytes = size;
     return ::ftruncate(file, static_cast<off_t>(size)) == 0;
   }
   bool rename(const std::string& from, const std::string& to) override {
@@ -94,34 +97,35 @@
   }
   bool sync(int file) override {
     const std::lock_guard lock(mutex_);
-    Open& of = open_[file];
-    if (of.pending.empty()) return true;  // also of a file that is only read
-    if (::pwrite(file, of.pending.data(), of.pending.size(), static_cast<off_t>(of.safe)) !=
-        static_cast<ssize_t>(of.pending.size())) {
+    UnsyncedFile& file_state = unsynced_[file];
+    if (file_state.pending.empty()) return true;  // also true of files opened for reading
+    if (::pwrite(file, file_state.pending.data(), file_state.pending.size(),
+                 static_cast<off_t>(file_state.synced_bytes)) !=
+        static_cast<ssize_t>(file_state.pending.size())) {
       return false;
     }
-    of.safe += of.pending.size();
-    of.pending.clear();
+    file_state.synced_bytes += file_state.pending.size();
+    file_state.pending.clear();
     return true;
   }
   bool sync_folder() override { return true; }
   void drop_page_cache(int) override {}
   void close(int file) override {
-    sync(file);  // whoever opens it again in this process reads what was written
+    sync(file);  // so that a later open in this process reads what was written
     const std::lock_guard lock(mutex_);
-    open_.erase(file);
+    unsynced_.erase(file);
     ::close(file);
   }
 
  private:
-  struct Open {
-    size_t safe = 0;
+  struct UnsyncedFile {
+    size_t synced_bytes = 0;
     std::string pending;
   };
   std::filesystem::path folder_;
   bool read_only_;
   std::mutex mutex_;
-  std::map<int, Open> open_;
+  std::map<int, UnsyncedFile> unsynced_;
   std::mt19937_64 random_;
 };
 
--- a/tests/fleet/link.h
+++ b/tests/fleet/link.h
@@ -1,5 +1,5 @@
-// The network between relays, one link for each ordered pair: a test cuts it, delays it, loses, doubles and
-// reorders its frames. One thread for all of them, which knows no more of a frame than its length.
+// The network between relays, with a link for each ordered pair. A test can cut a link, or delay, lose,
+// duplicate and reorder its frames. One thread forwards all frames; it reads nothing of them but the length.
 #pragma once
 
 #include <fcntl.h>
@@ -22,11 +22,11 @@
 namespace umberhoist::testing {
 
 struct LinkFault {
-  bool cut = false;  // what is under way is lost, and connections end
+  bool cut = false;  // frames in flight are lost, and connections are closed
   int delay_ms = 0;
-  int jitter_ms = 0;  // and by that frames overtake one another
-  double lose = 0;
-  double twice = 0;
+  int jitter_ms = 0;  // random extra delay, which reorders frames
+  double loss_probability = 0;
+  double duplicate_probability = 0;
 };
 
 class Network {
@@ -40,7 +40,7 @@
   }
 
  public:
-  // Where a relay's listener is now; 0: it is down.
+  // Port of a relay's listener; 0: it is down.
   using Find = std::function<uint16_t(size_t relay)>;
 
   Network(Find find, uint64_t seed) : find_(std::move(find)), random_(seed), work_(io_.get_executor()) {
@@ -51,20 +51,21 @@
     thread_.join();
   }
 
-  // The port at which `from` finds `to`.
+  // The port on which `from` reaches `to`.
   uint16_t port(size_t from, size_t to) {
     return on_thread([&] {
       auto& link = links_[{from, to}];
       if (!link.acceptor) {
         link.acceptor =
             std::make_unique<tcp::acceptor>(io_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
-        ::fcntl(link.acceptor->native_handle(), F_SETFD, FD_CLOEXEC);  // no relay is to inherit it
+        ::fcntl(link.acceptor->native_handle(), F_SETFD,
+                FD_CLOEXEC);  // must not be inherited by the relay processes
         accept(link, to);
       }
       return link.acceptor->local_endpoint().port();
     });
   }
-  // Frames from one to the other; answers on the same connection are the other way's.
+  // Applies to frames from `from` to `to`, on connections opened by either side.
   void set(size_t from, size_t to, LinkFault fault) {
     on_thread([&] {
       faults_[{from, to}] = fault;
@@ -72,7 +73,7 @@
       return 0;
     });
   }
-  void cut_off(size_t relay, size_t count, bool cut = true) {
+  void isolate(size_t relay, size_t count, bool cut = true) {
     for (size_t other = 0; other < count; ++other) {
       if (other == relay) continue;
       LinkFault fault;
@@ -90,7 +91,7 @@
 
  private:
   struct Pair;
-  struct Side {
+  struct Endpoint {
     std::shared_ptr<tcp::socket> socket;
     std::string in;
     std::deque<std::string> out;
@@ -98,7 +99,7 @@
     std::array<char, 65'536> bytes;
   };
   struct Pair : std::enable_shared_from_this<Pair> {
-    Side caller, called;
+    Endpoint client_side, server_side;
     size_t from = 0, to = 0;
   };
   struct Link {
@@ -119,10 +120,10 @@
             const auto pair = std::make_shared<Pair>();
             pair->from = from;
             pair->to = to;
-            pair->caller.socket = std::make_shared<tcp::socket>(std::move(socket));
-            pair->called.socket = std::make_shared<tcp::socket>(io_);
+            pair->client_side.socket = std::make_shared<tcp::socket>(std::move(socket));
+            pair->server_side.socket = std::make_shared<tcp::socket>(io_);
             boost::system::error_code failed;
-            pair->called.socket->connect({boost::asio::ip::address_v4::loopback(), port}, failed);
+            pair->server_side.socket->connect({boost::asio::ip::address_v4::loopback(), port}, failed);
             if (!failed) {
               link.pairs.push_back(pair);
               read(pair, true);
@@ -143,15 +144,15 @@
   }
   static void end(Pair& pair) {
     boost::system::error_code ignored;
-    pair.caller.socket->close(ignored);
-    pair.called.socket->close(ignored);
+    pair.client_side.socket->close(ignored);
+    pair.server_side.socket->close(ignored);
   }
   void read(const std::shared_ptr<Pair>& pair, bool from_caller) {
-    Side& side = from_caller ? pair->caller : pair->called;
+    Endpoint& side = from_caller ? pair->client_side : pair->server_side;
     side.socket->async_read_some(
         boost::asio::buffer(side.bytes),
         [this, pair, from_caller](const boost::system::error_code& error, size_t got) {
-          Side& here = from_caller ? pair->caller : pair->called;
+          Endpoint& here = from_caller ? pair->client_side : pair->server_side;
           if (error) return end(*pair);
           here.in.append(here.bytes.data(), got);
           while (here.in.size() >= 4) {
@@ -170,29 +171,30 @@
     const auto chance = [&](double p) {
       return p > 0 && std::uniform_real_distribution<>(0, 1)(random_) < p;
     };
-    if (fault.cut || chance(fault.lose)) return;
-    for (int copies = chance(fault.twice) ? 2 : 1; copies > 0; --copies) {
-      const int late =
+    if (fault.cut || chance(fault.loss_probability)) return;
+    for (int copies = chance(fault.duplicate_probability) ? 2 : 1; copies > 0; --copies) {
+      const int total_delay_ms =
           fault.delay_ms +
           (fault.jitter_ms > 0 ? static_cast<int>(random_() % static_cast<unsigned>(fault.jitter_ms)) : 0);
-      if (late == 0) {
+      if (total_delay_ms == 0) {
         write(pair, from_caller, frame);
         continue;
       }
-      const auto timer = std::make_shared<boost::asio::steady_timer>(io_, std::chrono::milliseconds(late));
+      const auto timer =
+          std::make_shared<boost::asio::steady_timer>(io_, std::chrono::milliseconds(total_delay_ms));
       timer->async_wait([this, timer, pair, from_caller, frame](const boost::system::error_code& error) {
         if (!error) write(pair, from_caller, frame);
       });
     }
   }
   void write(const std::shared_ptr<Pair>& pair, bool from_caller, std::string frame) {
-    Side& to = from_caller ? pair->called : pair->caller;
+    Endpoint& to = from_caller ? pair->server_side : pair->client_side;
     if (!frame.empty()) to.out.push_back(std::move(frame));
     if (to.writing || to.out.empty()) return;
     to.writing = true;
     boost::asio::async_write(*to.socket, boost::asio::buffer(to.out.front()),
                              [this, pair, from_caller](const boost::system::error_code& error, size_t) {
-                               Side& side = from_caller ? pair->called : pair->caller;
+                               Endpoint& side = from_caller ? pair->server_side : pair->client_side;
                                side.writing = false;
                                if (error) return end(*pair);
                                side.out.pop_front();
--- a/tests/fleet/processes.cpp
+++ b/tests/fleet/processes.cpp
@@ -14,24 +14,25 @@
 using register_pb::Ask;
 
 uint64_t Status::number(const std::string& word) const {
-  const auto it = words.find(word);
-  return it == words.end() ? 0 : std::strtoull(it->second.c_str(), nullptr, 10);
+  const auto it = fields.find(word);
+  return it == fields.end() ? 0 : std::strtoull(it->second.c_str(), nullptr, 10);
 }
 
-void Oracle::take(const std::string& relay, const Status& status) {
-  if (!status.heard) return;
+void InvariantChecker::record(const std::string& relay, const Status& status) {
+  if (!status.received) return;
   const std::lock_guard lock(mutex_);
-  const auto breach = [&](const std::string& what) { breaches_.push_back(relay + ": " + what); };
-  if (status.words.contains("diverged")) breach("its state differs from the others'");
+  const auto report_violation = [&](const std::string& what) { violations_.push_back(relay + ": " + what); };
+  if (status.fields.contains("diverged")) report_violation("its state differs from the others'");
   const uint64_t index = status.number("index");
   if (index != 0) {
-    const auto [known, fresh] =
-        digests_.emplace(std::pair(status.number("generation"), index), status.words.at("digest"));
-    if (!fresh && known->second != status.words.at("digest")) {
-      breach("another state after command " + std::to_string(index));
+    const auto [known, is_new] =
+        digests_.emplace(std::pair(status.number("generation"), index), status.fields.at("digest"));
+    if (!is_new && known->second != status.fields.at("digest")) {
+      report_violation("another state after command " + std::to_string(index));
     }
   }
-  // Whoever acts for a key by an older map, after another acted for it by a newer one, owned it together.
+  // A relay that acts for a key by an older map after another acted for it by a newer one: two owners at a
+  // time.
   const auto at = static_cast<int64_t>(status.number("at"));
   const uint64_t epoch = status.number("epoch") + 1'000'000 * status.number("generation");
   for (const auto& [first, last] : status.owns) {
@@ -40,14 +41,14 @@
       if (!overlap) continue;
       if ((other.epoch > epoch && other.at < at) || (other.epoch < epoch && other.at > at) ||
           other.epoch == epoch) {
-        breach("acts for a key that " + other.relay + " acts for, epochs " + std::to_string(epoch) + " and " +
-               std::to_string(other.epoch));
+        report_violation("acts for a key that " + other.relay + " acts for, epochs " + std::to_string(epoch) +
+                         " and " + std::to_string(other.epoch));
       }
     }
     const auto same = std::find_if(claims_.begin(), claims_.end(), [&](const Claim& c) {
       return c.relay == relay && c.epoch == epoch && c.first == first && c.last == last;
     });
-    // The last time counts for what is older, the first one for what is newer: both are kept.
+    // Compared with newer maps the latest time of a claim counts, with older ones the first: keep both.
     if (same == claims_.end()) {
       claims_.push_back({at, epoch, first, last, relay});
       claims_.push_back({at, epoch, first, last, relay});
@@ -57,12 +58,12 @@
   }
 }
 
-std::vector<std::string> Oracle::breaches() const {
+std::vector<std::string> InvariantChecker::violations() const {
   const std::lock_guard lock(mutex_);
-  return breaches_;
+  return violations_;
 }
 
-Relays::Relays(Options options) : options_(std::move(options)) {
+RelayProcesses::RelayProcesses(Options options) : options_(std::move(options)) {
   std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-fleet-XXXXXX";
   folder_ = ::mkdtemp(pattern.data());
   for (size_t i = 0; i < count(); ++i) {
@@ -85,16 +86,16 @@
   }
 }
 
-Relays::~Relays() {
+RelayProcesses::~RelayProcesses() {
   for (size_t i = 0; i < count(); ++i) {
-    if (runs(i)) signal(i, SIGCONT);
+    if (is_running(i)) signal(i, SIGCONT);
     kill(i);
   }
   network_.reset();
   std::filesystem::remove_all(folder_);
 }
 
-void Relays::configure(size_t i, const nlohmann::json& config) {
+void RelayProcesses::configure(size_t i, const nlohmann::json& config) {
   nlohmann::json own = config;
   own["name"] = name(i);
   own["listen"] = "127.0.0.1:0";
@@ -105,7 +106,7 @@
   std::filesystem::rename(folder(i) / "config.new", folder(i) / "config.json");
 }
 
-void Relays::read_log(Relay& relay, int pipe) {
+void RelayProcesses::read_log(Relay& relay, int pipe) {
   std::string rest;
   char bytes[4096];
   for (ssize_t got = 0; (got = ::read(pipe, bytes, sizeof bytes)) > 0;) {
@@ -123,9 +124,9 @@
   ::close(pipe);
 }
 
-void Relays::start(size_t i) {
+void RelayProcesses::start(size_t i) {
   Relay& relay = *relays_[i];
-  if (runs(i)) return;
+  if (is_running(i)) return;
   int pipe[2];
   ASSERT_EQ(::pipe2(pipe, O_CLOEXEC), 0);
   const std::string config = folder(i) / "config.json";
@@ -145,7 +146,7 @@
   relay.reader = std::thread([this, &relay, end = pipe[0]] { read_log(relay, end); });
 }
 
-void Relays::start_all() {
+void RelayProcesses::start_all() {
   for (size_t i = 0; i < count(); ++i) start(i);
   for (size_t i = 0; i < count(); ++i) {
     Relay& relay = *relays_[i];
@@ -156,9 +157,9 @@
   }
 }
 
-void Relays::signal(size_t i, int number) { ::kill(relays_[i]->child, number); }
+void RelayProcesses::signal(size_t i, int number) { ::kill(relays_[i]->child, number); }
 
-int Relays::end_of(size_t i) {
+int RelayProcesses::wait_for_exit(size_t i) {
   Relay& relay = *relays_[i];
   int status = 0;
   ::waitpid(relay.child, &status, 0);
@@ -168,35 +169,38 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-void Relays::kill(size_t i) {
-  if (!runs(i)) return;
+void RelayProcesses::kill(size_t i) {
+  if (!is_running(i)) return;
   signal(i, SIGKILL);
-  end_of(i);
+  wait_for_exit(i);
 }
 
-void Relays::kill_all() {
+void RelayProcesses::kill_all() {
   for (size_t i = 0; i < count(); ++i) {
-    if (runs(i)) signal(i, SIGKILL);
+    if (is_running(i)) signal(i, SIGKILL);
   }
   for (size_t i = 0; i < count(); ++i) {
-    if (runs(i)) end_of(i);
+    if (is_running(i)) wait_for_exit(i);
   }
 }
 
-firspool::testing::Socket Relays::client(size_t i) const {
+firspool::testing::Socket RelayProcesses::client(size_t i) const {
   return firspool::testing::Socket::connect(relays_[i]->clients);
 }
 
-std::string Relays::address(size_t i) const { return "127.0.0.1:" + std::to_string(relays_[i]->fleet); }
+std::string RelayProcesses::address(size_t i) const {
+  return "127.0.0.1:" + std::to_string(relays_[i]->fleet);
+}
 
-ctl::FleetReply Relays::ask(size_t i, Ask::Verb verb, const std::string& text) {
+ctl::FleetReply RelayProcesses::request(size_t i, Ask::Verb verb, const std::string& text) {
   Ask question;
   question.set_verb(verb);
   question.set_text(text);
   return ctl::send_request(address(i), question);
 }
 
-ctl::FleetReply Relays::except(size_t i, uint64_t digest, const std::string& by, uint32_t minutes) {
+ctl::FleetReply RelayProcesses::approve_exception(size_t i, uint64_t digest, const std::string& by,
+                                                  uint32_t minutes) {
   Ask question;
   question.set_verb(Ask::kExcept);
   question.set_digest(digest);
@@ -205,14 +209,14 @@
   return ctl::send_request(address(i), question);
 }
 
-Status Relays::status(size_t i) {
+Status RelayProcesses::status(size_t i) {
   Status out;
-  if (!runs(i) || relays_[i]->fleet == 0) return out;
+  if (!is_running(i) || relays_[i]->fleet == 0) return out;
   Ask question;
   question.set_verb(Ask::kStatus);
   const auto answer = ctl::send_request(address(i), question, std::chrono::milliseconds(300));
   if (!answer.received) return out;
-  out.heard = true;
+  out.received = true;
   std::istringstream in(answer.text);
   for (std::string line; std::getline(in, line);) {
     const size_t space = line.find(' ');
@@ -222,13 +226,13 @@
     if (word == "owns") {
       out.owns.emplace_back(std::stoull(rest, nullptr, 16), std::stoull(rest.substr(17), nullptr, 16));
     }
-    out.words[word] = rest;
+    out.fields[word] = rest;
   }
-  oracle_.take(name(i), out);
+  invariants_.record(name(i), out);
   return out;
 }
 
-bool Relays::wait_for(size_t i, const std::string& text, int times) {
+bool RelayProcesses::wait_for(size_t i, const std::string& text, int times) {
   Relay& relay = *relays_[i];
   std::unique_lock lock(relay.mutex);
   return relay.changed.wait_for(lock, std::chrono::milliseconds(firspool::testing::kDeadlineMs), [&] {
@@ -237,25 +241,25 @@
   });
 }
 
-int Relays::lines_with(size_t i, const std::string& text) const {
+int RelayProcesses::lines_with(size_t i, const std::string& text) const {
   const std::lock_guard lock(relays_[i]->mutex);
   return static_cast<int>(std::count_if(relays_[i]->lines.begin(), relays_[i]->lines.end(),
                                         [&](const auto& line) { return line.find(text) != line.npos; }));
 }
 
-std::string Relays::log(size_t i) const {
+std::string RelayProcesses::log(size_t i) const {
   const std::lock_guard lock(relays_[i]->mutex);
   std::string out;
   for (const auto& line : relays_[i]->lines) out += name(i) + ": " + line + "\n";
   return out;
 }
 
-bool Relays::whole(const std::vector<Status>& all, uint64_t epoch) {
+bool RelayProcesses::has_complete_map(const std::vector<Status>& all, uint64_t epoch) {
   std::set<uint64_t> epochs;
   std::vector<std::pair<uint64_t, uint64_t>> owned;
   for (const Status& status : all) {
-    if (!status.heard) continue;
-    if (status.words.contains("proposed") || status.words.at("leader") == "none") return false;
+    if (!status.received) continue;
+    if (status.fields.contains("proposed") || status.fields.at("leader") == "none") return false;
     epochs.insert(status.number("epoch"));
     owned.insert(owned.end(), status.owns.begin(), status.owns.end());
   }
@@ -269,13 +273,13 @@
   return !owned.empty() && owned.back().second == UINT64_MAX;
 }
 
-std::string Relays::describe() {
+std::string RelayProcesses::describe() {
   std::string out;
   for (size_t i = 0; i < count(); ++i) {
-    if (runs(i)) out += ask(i, Ask::kStatus).text + "\n";
+    if (is_running(i)) out += request(i, Ask::kStatus).text + "\n";
     out += log(i);
   }
-  for (const auto& breach : breaches()) out += "BREACH " + breach + "\n";
+  for (const auto& violation : violations()) out += "VIOLATION " + violation + "\n";
   return out;
 }
 
