--- a/rehearsal/checker.h
+++ b/rehearsal/checker.h
@@ -35,17 +35,18 @@
 struct RuleParameters {
   std::vector<ClassRule> classes;
   int max_attempts = 6;
-  Time drain_grace = kSecond;
-  double overload_factor = 2;
-  Time overload_window = 3 * kSecond;
-  Time slow_start = 12 * kSecond;
-  double start_capacity = 0.21;
-  Time tolerance = 50 * kMillisecond;
-  Time notice_slack = 300 * kMillisecond;
-  Time restart_slack = 1500 * kMillisecond;
-  Time max_notify_delay = 6 * kSecond;
-  Time max_notify_delay_after_move = 4 * kSecond;
-  Time retry_after_grace = 100 * kMillisecond;
+  Time drain_grace = kSecond;                // calls to a draining endpoint are allowed for this long
+  double overload_factor = 2;                // budget as a multiple of the current capacity
+  Time overload_window = 3 * kSecond;        // window over which the budget is counted
+  Time slow_start = 12 * kSecond;            // from the end of an outage to full capacity
+  double start_capacity = 0.21;              // share of the capacity at the end of an outage
+  Time tolerance = 50 * kMillisecond;        // added to each limit
+  Time notice_slack = 300 * kMillisecond;    // a notice may come this long after the message's time
+  Time restart_slack = 1500 * kMillisecond;  // no notice is overdue for this long after a restart
+  Time max_notify_delay = 6 * kSecond;       // from the agent's update until the relay counts as notified
+  Time max_notify_delay_after_move =
+      4 * kSecond;                              // from SIGHUP until it counts as notified of earlier updates
+  Time retry_after_grace = 100 * kMillisecond;  // for calls that cross a refusal with a wait
 };
 
 enum class Rule {
--- a/rehearsal/run.h
+++ b/rehearsal/run.h
@@ -57,6 +57,7 @@
   Time cpu = 0;
 };
 
+// The values are the exit statuses of umberhoist-rehearse.
 enum class RunVerdict { kPassed = 0, kViolated = 1, kInconclusive = 3 };
 
 struct RunReport {
--- a/rehearsal/scenario.h
+++ b/rehearsal/scenario.h
@@ -186,6 +186,7 @@
 // ScenarioError.
 Scenario parse_scenario(const std::string& text, const std::string& name,
                         const std::vector<std::string>& sets);
+// Loads a bundled scenario by its name, or a file. Throws ScenarioError.
 Scenario load_scenario(const std::string& file_or_name, const std::vector<std::string>& sets);
 
 struct BundledScenario {
