--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -96,7 +96,7 @@
                   1);
   directory.apply(list(10, false, {member("s-3", "left")}), 2);
   directory.erase(handle("s-3"));
-  // s-2 came after this list was made; s-4 and the end of s-5 are news.
+  // s-2 was added after this list was made. s-4 is new, and so is its draining in list 5 below.
   directory.apply(list(4, true, {member("s-1", "active"), member("s-3", "active"), member("s-4", "active")}),
                   3);
   EXPECT_FALSE(directory.is_active(handle("s-1")));
