--- a/fleet/fleet.h
+++ b/fleet/fleet.h
@@ -41,7 +41,7 @@
   // Whether a leader has confirmed the state recently, so that reports and ownership are current.
   virtual bool is_confirmed() = 0;
   virtual std::vector<HealthReport> health_reports() = 0;
-  virtual void report_health(std::vector<HealthReport> sights) = 0;
+  virtual void report_health(std::vector<HealthReport> reports) = 0;
   // The version to run; and the version that this relay runs now.
   virtual Version version() = 0;
   virtual void report_running_version(uint64_t number) = 0;
--- a/register/node.cpp
+++ b/register/node.cpp
@@ -303,10 +303,10 @@
     return suspend_voter();
   }
   // A sender of an earlier generation, or of none yet, only learns the current generation.
-  const bool same = frame.generation() == generation();
+  const bool same_generation = frame.generation() == generation();
   switch (frame.what_case()) {
     case pb::Frame::kRaft:
-      if (same && phase_ == Phase::kVoting && frame.identity() == frame.raft().from()) {
+      if (same_generation && phase_ == Phase::kVoting && frame.identity() == frame.raft().from()) {
         raft_->receive(frame.raft(), now.steady_us / kUsPerMs);
       }
       break;
@@ -317,7 +317,7 @@
       handle(frame.beat_answer(), frame);
       break;
     case pb::Frame::kPropose:
-      if (same) handle(frame.propose(), frame);
+      if (same_generation) handle(frame.propose(), frame);
       break;
     case pb::Frame::kProposeAnswer: {
       const auto it = pending_commands_.find(frame.propose_answer().number());
@@ -346,24 +346,24 @@
   while (heartbeat_sent_at_.size() > kMaxUnansweredHeartbeats)
     heartbeat_sent_at_.erase(heartbeat_sent_at_.begin());
   pb::Frame frame;
-  pb::Beat* beat = frame.mutable_beat();
-  beat->set_number(number);
-  beat->set_wall(now_.wall_us);
-  beat->set_index(machine_.state().index());
+  pb::Beat* heartbeat = frame.mutable_beat();
+  heartbeat->set_number(number);
+  heartbeat->set_wall(now_.wall_us);
+  heartbeat->set_index(machine_.state().index());
   const uint64_t* digest = find_index(digests_, machine_.state().index());
-  beat->set_digest(digest != nullptr ? *digest : machine_.digest());  // computed once per command
-  beat->set_map_index(machine_.state().map_index());
-  pb::Member* self = beat->mutable_self();
+  heartbeat->set_digest(digest != nullptr ? *digest : machine_.digest());  // computed once per command
+  heartbeat->set_map_index(machine_.state().map_index());
+  pb::Member* self = heartbeat->mutable_self();
   self->set_name(options_.name);
   self->set_slot(options_.slot);
   self->set_boot(boot_id_);
   self->set_weight(options_.weight);
   self->set_zone(options_.zone);
   self->set_leaving(leaving_);
-  beat->set_version(running_version_);
-  beat->set_diverged(diverged_);
+  heartbeat->set_version(running_version_);
+  heartbeat->set_diverged(diverged_);
   for (const HealthReport& report : own_reports_) {
-    pb::Seen* seen = beat->add_seen();
+    pb::Seen* seen = heartbeat->add_seen();
     seen->set_destination(report.destination);
     if (report.outage_start != 0)
       seen->set_out_for(std::max<int64_t>(1, now_.steady_us - report.outage_start));
@@ -375,8 +375,8 @@
   }
   if (is_voter()) {
     HeartbeatRecord& own = heartbeats_[options_.name];
-    own = {now_.steady_us, *self, beat->map_index(), running_version_, diverged_};
-    for (const pb::Seen& seen : beat->seen()) {
+    own = {now_.steady_us, *self, heartbeat->map_index(), running_version_, diverged_};
+    for (const pb::Seen& seen : heartbeat->seen()) {
       merge_report(seen, options_.name,
                    ownership(shards::key_of(seen.destination()), now_.steady_us) == Ownership::kOwner);
     }
@@ -386,22 +386,22 @@
   }
 }
 
-void Node::handle(const pb::Beat& beat, const pb::Frame& frame) {
+void Node::handle(const pb::Beat& heartbeat, const pb::Frame& frame) {
   if (!is_voter()) return;
   pb::Frame out;
   pb::BeatAnswer* answer = out.mutable_beat_answer();
-  answer->set_number(beat.number());
+  answer->set_number(heartbeat.number());
   answer->set_wall(now_.wall_us);
-  const bool same = frame.generation() == generation() || frame.generation() == 0;
-  if (phase_ == Phase::kVoting && same) {
-    HeartbeatRecord& heartbeat = heartbeats_[frame.from()];
-    heartbeat.at = now_.steady_us;
-    heartbeat.member = beat.self();
-    heartbeat.map_index = std::max(heartbeat.map_index, beat.map_index());
-    heartbeat.version = beat.version();
-    heartbeat.diverged = beat.diverged();
-    const shards::Map map = beat.seen_size() > 0 ? machine_.map() : shards::Map();
-    for (const pb::Seen& seen : beat.seen()) {
+  const bool same_generation = frame.generation() == generation() || frame.generation() == 0;
+  if (phase_ == Phase::kVoting && same_generation) {
+    HeartbeatRecord& record = heartbeats_[frame.from()];
+    record.at = now_.steady_us;
+    record.member = heartbeat.self();
+    record.map_index = std::max(record.map_index, heartbeat.map_index());
+    record.version = heartbeat.version();
+    record.diverged = heartbeat.diverged();
+    const shards::Map map = heartbeat.seen_size() > 0 ? machine_.map() : shards::Map();
+    for (const pb::Seen& seen : heartbeat.seen()) {
       const shards::Range* range = shards::find_range(map, shards::key_of(seen.destination()));
       merge_report(seen, frame.from(), range != nullptr && range->owner == frame.from());
     }
@@ -413,14 +413,14 @@
     }
     const pb::State& state = machine_.state();
     answer->set_index(state.index());
-    const uint64_t* digest = find_index(digests_, beat.index());
-    answer->set_digest_index(digest != nullptr ? beat.index() : 0);
+    const uint64_t* digest = find_index(digests_, heartbeat.index());
+    answer->set_digest_index(digest != nullptr ? heartbeat.index() : 0);
     answer->set_digest(digest != nullptr ? *digest : 0);
     const bool to_learner = find_voter(frame.from()) == nullptr;
-    if (to_learner && beat.index() < state.index()) {
-      if (frame.generation() != 0 && find_index(recent_commands_, beat.index() + 1) != nullptr) {
+    if (to_learner && heartbeat.index() < state.index()) {
+      if (frame.generation() != 0 && find_index(recent_commands_, heartbeat.index() + 1) != nullptr) {
         size_t bytes = 0;
-        for (uint64_t i = beat.index() + 1; i <= state.index() && bytes < kMaxDeltaBytes; ++i) {
+        for (uint64_t i = heartbeat.index() + 1; i <= state.index() && bytes < kMaxDeltaBytes; ++i) {
           pb::LogEntry* entry = answer->add_command();
           entry->set_index(i);
           entry->set_data(*find_index(recent_commands_, i));
@@ -431,8 +431,8 @@
       }
     }
     // Grant a lease only to a relay that has adopted the newest map change, and only as the confirmed leader.
-    if (may_grant_leases() && beat.map_index() == state.map_index() && !beat.diverged() &&
-        !beat.self().leaving()) {
+    if (may_grant_leases() && heartbeat.map_index() == state.map_index() && !heartbeat.diverged() &&
+        !heartbeat.self().leaving()) {
       answer->set_lease(true);
       answer->set_lease_map_index(state.map_index());
       lease_grants_[frame.from()] = {now_.steady_us, state.map_index()};
--- a/register/node.h
+++ b/register/node.h
@@ -43,7 +43,8 @@
   std::vector<Voter> voters;  // three or five; may include this relay
   StateMachineRules rules;
   RaftOptions raft;
-  int64_t relay_heartbeat_ms = 300;
+  int64_t relay_heartbeat_ms =
+      300;  // from each relay to the voters; raft.heartbeat_interval_ms: to followers
   int64_t lease_ms = 2000;
   int64_t member_timeout_ms = 3000;  // a member not heard from for this long is lost
   int64_t confirm_timeout_ms =
@@ -97,7 +98,7 @@
   void receive(const pb::Frame& frame, Now now);
   void tick(Now now);  // call at intervals well below relay_heartbeat_ms
   // An operator's query or change. `done` is called exactly once: immediately or within propose_timeout_ms.
-  void handle_request(const pb::Ask& ask, Now now, ReplyCallback done);
+  void handle_request(const pb::Ask& request, Now now, ReplyCallback done);
   // Proposes the configuration that all relays are to run. `done` reports whether the register accepted it.
   void propose_version(const std::string& text, Now now, ReplyCallback done);
   void set_running_version(uint64_t number) { running_version_ = number; }
@@ -173,7 +174,7 @@
   void fill_header(pb::Frame& frame, const std::string& to) const;
   void send(const std::string& to, pb::Frame frame);
   void send_heartbeat();
-  void handle(const pb::Beat& beat, const pb::Frame& frame);
+  void handle(const pb::Beat& heartbeat, const pb::Frame& frame);
   void handle(const pb::BeatAnswer& answer, const pb::Frame& frame);
   void handle(const pb::Propose& propose, const pb::Frame& frame);
   void update_peer_info(const pb::Frame& frame, PeerInfo& peer_info);
@@ -187,7 +188,7 @@
   bool is_silent(const std::string& name) const;
   void record_digest();
   void save_learner_snapshot();
-  void compare_digest(const std::string& voter, uint64_t index, uint64_t digest);
+  void compare_digest(const std::string& from, uint64_t index, uint64_t digest);
   freeze::TimeBounds time_bounds() const;
   int64_t quorum_contact_time() const;  // a majority answered heartbeats sent at or after this time
   bool may_grant_leases() const;
--- a/register/node_asks.cpp
+++ b/register/node_asks.cpp
@@ -46,9 +46,9 @@
       if (it == pending_commands_.end()) return;
       it->second.proposed = false;
       if (!done && reason.empty()) return;  // retried by process_pending_commands()
-      const ReplyCallback tell = std::move(it->second.reply);
+      const ReplyCallback reply = std::move(it->second.reply);
       pending_commands_.erase(it);
-      tell(done, reason);
+      reply(done, reason);
     });
   }
   if (leader_name_.empty() || leader_name_ == options_.name || !confirmed(now_.steady_us)) return;
@@ -142,11 +142,13 @@
   return {true, ""};
 }
 
-void Node::handle_request(const pb::Ask& ask, Now now, ReplyCallback done) {
+void Node::handle_request(const pb::Ask& request, Now now, ReplyCallback done) {
   now_ = now;
-  const auto tell = [done](bool good, const std::string& reason) { done(good, good ? "done" : reason); };
+  const auto reply = [done](bool succeeded, const std::string& reason) {
+    done(succeeded, succeeded ? "done" : reason);
+  };
   pb::Command command;
-  switch (ask.verb()) {
+  switch (request.verb()) {
     case pb::Ask::kStatus:
       return done(true, status(now));
     case pb::Ask::kMap:
@@ -173,27 +175,27 @@
       return done(true, out.str());
     }
     case pb::Ask::kProposeMap: {
-      const auto parsed = shards::parse_map(ask.text());
+      const auto parsed = shards::parse_map(request.text());
       const auto* map = std::get_if<shards::Map>(&parsed);
       if (map == nullptr) return done(false, "the map cannot be read");
       *command.mutable_propose_map()->mutable_map() = to_pb(*map);
-      return submit_command(std::move(command), tell);
+      return submit_command(std::move(command), reply);
     }
     case pb::Ask::kDeclare: {
-      const auto parsed = freeze::parse_calendar(ask.text());
+      const auto parsed = freeze::parse_calendar(request.text());
       const auto* calendar = std::get_if<freeze::Calendar>(&parsed);
       if (calendar == nullptr) return done(false, "the calendar cannot be read");
       *command.mutable_set_calendar()->mutable_calendar() = to_pb(*calendar);
-      return submit_command(std::move(command), tell);
+      return submit_command(std::move(command), reply);
     }
     case pb::Ask::kExcept:
-      command.mutable_approve()->set_digest(ask.digest());
-      command.mutable_approve()->set_approver(ask.by());
-      command.mutable_approve()->set_minutes(ask.minutes());
-      return submit_command(std::move(command), tell);
+      command.mutable_approve()->set_digest(request.digest());
+      command.mutable_approve()->set_approver(request.by());
+      command.mutable_approve()->set_minutes(request.minutes());
+      return submit_command(std::move(command), reply);
     case pb::Ask::kRestore: {
-      if (ask.text() != options_.name) {
-        return done(false, "this is '" + options_.name + "', not '" + ask.text() + "'");
+      if (request.text() != options_.name) {
+        return done(false, "this is '" + options_.name + "', not '" + request.text() + "'");
       }
       const CommandResult result = restore_from_folder();
       return done(result.applied,
--- a/register/node_leads.cpp
+++ b/register/node_leads.cpp
@@ -64,11 +64,11 @@
     lease_grants_[options_.name] = {now_.steady_us, machine_.state().map_index()};
   }
   for (const Voter& peer : options_.voters) {
-    const auto heard = peers_.find(peer.name);
-    if (heard == peers_.end() || heard->second.identity == 0) continue;
-    if (heard->second.generation != generation()) continue;
-    if (now_.steady_us - heard->second.at > options_.member_timeout_ms * kUsPerMs) continue;
-    raft_->reconcile_voter(heard->second.identity);
+    const auto peer_info = peers_.find(peer.name);
+    if (peer_info == peers_.end() || peer_info->second.identity == 0) continue;
+    if (peer_info->second.generation != generation()) continue;
+    if (now_.steady_us - peer_info->second.at > options_.member_timeout_ms * kUsPerMs) continue;
+    raft_->reconcile_voter(peer_info->second.identity);
   }
   update_members();
   advance_map();
@@ -116,12 +116,12 @@
   const uint64_t proposal = machine_.state().map_index();
   const int64_t lease = with_drift(options_.lease_ms * kUsPerMs);
   // The previous leader may have granted leases until one election time-out after this one was elected.
-  const bool before =
+  const bool predecessor_may_have_granted =
       now_.steady_us - leading_since_ <= lease + with_drift(options_.raft.election_timeout_ms * kUsPerMs);
   for (const pb::Member& member : machine_.state().member()) {
     const auto heartbeat = heartbeats_.find(member.name());
     if (heartbeat != heartbeats_.end() && heartbeat->second.map_index >= proposal) continue;
-    if (before || member.live()) return false;
+    if (predecessor_may_have_granted || member.live()) return false;
     const auto grant = lease_grants_.find(member.name());
     if (grant != lease_grants_.end() && now_.steady_us - grant->second.at <= lease) return false;
   }
--- a/shards/validate.h
+++ b/shards/validate.h
@@ -21,7 +21,7 @@
   // in the current map may stay, but not get further out. 0: shares are not checked.
   double share_factor = 2;
   double max_moved_share = 0.25;   // part of all keys that one rebalance may move; not applied to a repair
-  bool require_two_zones = false;  // owners in at least two zones, if members that may own keys are
+  bool require_two_zones = false;  // if members in two zones may own keys, owners must be in two
   Key last_key = UINT64_MAX;       // smaller only in tests, to compare with a brute-force check
 };
 
